--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/EngineAdmission.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/EngineAdmission.java
@@ -18,38 +18,42 @@
 import org.landingtrack.internal.serving.ServerChooser.Choice;
 
 /**
- * Decides whether a request is sent to the engine that was chosen, waits at this VM, or is refused.
- * Without memory for it an engine begins a request only when others are over, and until then it can
- * be ordered better here; what cannot be answered in time is refused at once. Pure.
+ * Admission control for engines: decides whether a request is sent to the selected engine, waits in
+ * the queue of this VM, or is refused. An engine without memory for a request starts it only after
+ * others have ended, and until then this VM can order it better than the engine's queue. A request
+ * that cannot be answered in time is refused at once. Stateless.
  */
 final class EngineAdmission {
   /**
-   * A request is not sent to an engine that would begin it later than this: fetches must end within
-   * {@link PartStore#BELIEF_MS}, and there they take some hundred milliseconds.
+   * Maximum expected wait at the engine, in milliseconds. Fetches must end within {@link
+   * PartStore#BELIEF_MS} after the send, and take some hundred milliseconds of that.
    */
   private static final long MAX_ENGINE_WAIT_MS = 250;
 
-  /** Requests under way may need so much of an engine's memory; the rest keeps parts. */
+  /** Share of an engine's memory for requests under way; the rest is for its prefix cache. */
   static final double MEMORY_SHARE = 0.75;
 
   /**
-   * Likewise for a request that has waited as long as its route's target: small ones that come
-   * later would take a large one's place for ever.
+   * The share for a request that has waited as long as its route's target latency. Without this
+   * increase, small requests that arrive later would starve a large one.
    */
   private static final double MAX_MEMORY_SHARE = 1.1;
 
-  /** An engine's answer takes at least about so long. */
+  /** Minimum time of an engine's answer, approximately. */
   private static final long LEAST_ANSWER_MS = 100;
 
-  /** Callers that are refused together come back spread over this time. */
+  /** Time over which the retries of callers that are refused together are spread. */
   private static final long RETRY_SPREAD_MS = 300;
 
-  /** A caller that comes back after more than this part of its time has too little left. */
+  /**
+   * Divisor of the caller's remaining time: a retry after more than this fraction of it would leave
+   * too little time.
+   */
   private static final int RETRY_LEFT_PARTS = 4;
 
   private EngineAdmission() {}
 
-  /** What becomes of a request now. */
+  /** The decision on a request. */
   enum Verdict {
     SEND,
     WAIT,
@@ -57,12 +61,13 @@
   }
 
   /**
-   * Decides.
+   * Decides on a request. Times are in milliseconds.
    *
-   * @param ageMs how long ago the request came
-   * @param targetMs within which its answer is in time
-   * @param leftMs until its end
-   * @param expectedWaitMs the time until an engine would begin it, by what waits here
+   * @param choice the selected engine with its estimates
+   * @param ageMs time since the request arrived
+   * @param targetMs target latency of its route
+   * @param leftMs time until its deadline
+   * @param expectedWaitMs expected time until an engine would start it, given this VM's queue
    */
   static Verdict decide(
       Choice choice, long ageMs, long targetMs, long leftMs, long expectedWaitMs) {
@@ -76,21 +81,21 @@
   }
 
   /**
-   * Returns when a caller that is refused should come back.
+   * Returns the time in milliseconds after which a refused caller should retry.
    *
-   * @param callerHash spreads callers
+   * @param callerHash hash by which the callers are spread
    */
   static long retryAfterMs(long expectedWaitMs, long leftMs, long callerHash) {
     long spreadMs = Math.floorMod(callerHash, RETRY_SPREAD_MS);
     return Math.min(expectedWaitMs, leftMs / RETRY_LEFT_PARTS) + spreadMs;
   }
 
-  /** Returns true if an answer can come in the time that is left, after a wait. */
+  /** Returns true if an answer can come within the remaining time after a wait. */
   static boolean isInTime(long waitMs, long leftMs) {
     return waitMs < leftMs - LEAST_ANSWER_MS;
   }
 
-  /** Returns true if an answer can no longer come within a route's target. */
+  /** Returns true if an answer can no longer come within the target latency of a route. */
   static boolean isLate(long ageMs, long targetMs) {
     return ageMs + LEAST_ANSWER_MS > targetMs;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/EngineTiming.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/EngineTiming.java
@@ -19,31 +19,31 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * How quickly an engine answers this VM: the time that it reads a token in, and by how much its
- * first events come later than expected. What is later than expected has a cause that this VM does
- * not see, such as other requests, a full link, or silence, and is expected of the next request
- * too.
+ * Estimates how quickly an engine answers this VM: the prefill time per token, and the lag, by
+ * which its first events come later than expected. The lag has a cause that this VM does not see,
+ * such as other requests, a saturated link or a hung engine, so the next request is expected to be
+ * late as well. Not thread-safe; used on the event loop.
  */
 final class EngineTiming {
-  /** Until an engine has read something for this VM; a fast engine of these days. */
+  /** Prefill time per token assumed before the first sample: that of a fast current engine. */
   static final double PRIOR_MS_PER_TOKEN = 0.02;
 
-  /** Learned times stay within this factor of the prior. */
+  /** Maximum factor by which the estimate differs from the prior, in both directions. */
   private static final double MAX_FACTOR = 10;
 
-  /** Answers that read fewer tokens say little about the time for one. */
+  /** Minimum tokens of a sample; shorter prefills say little about the time per token. */
   private static final int MIN_SAMPLE_TOKENS = 500;
 
-  /** Weight of a sample that was quicker than known: nothing makes an engine read too quickly. */
+  /** Weight of a sample below the estimate: nothing makes an engine appear faster than it is. */
   private static final double QUICKER_WEIGHT = 0.3;
 
-  /** Weight of a slower one: other requests may have been in its way. */
+  /** Weight of a sample above the estimate: other requests may have delayed it. */
   private static final double SLOWER_WEIGHT = 0.05;
 
   /** Weight of the latest answer in the lag. */
   private static final double LAG_WEIGHT = 0.5;
 
-  /** What an answer said of the lag halves in this time. */
+  /** Half-life of the lag in milliseconds. */
   private static final double LAG_HALF_MS = 1_000;
 
   private final IdentityHashMap<Object, Sent> waiting = new IdentityHashMap<>();
@@ -52,11 +52,13 @@
   private long lagAtMs;
 
   /**
-   * A request without its first event.
+   * A request that awaits its first event.
    *
-   * @param readTokens those that the engine has to read
-   * @param fixedMs the part of the expected time that is not reading
-   * @param alone true if the engine was not known to have other work
+   * @param atMs when it was sent
+   * @param expectedMs expected time to the first event
+   * @param readTokens tokens that the engine has to prefill
+   * @param fixedMs the part of the expected time that is not prefill
+   * @param alone true if the engine had no other work that this VM knew of
    */
   private record Sent(long atMs, double expectedMs, int readTokens, double fixedMs, boolean alone) {
     double lateMs(long nowMs) {
@@ -64,14 +66,22 @@
     }
   }
 
-  /** Returns what holds for the engine after it started again: how quickly its machine reads. */
+  /** Returns the timing for the engine after a restart: only the speed of its machine remains. */
   EngineTiming ofNextStart() {
     EngineTiming next = new EngineTiming();
     next.msPerToken = msPerToken;
     return next;
   }
 
-  /** Notes a request that was sent. {@code request} is only compared by identity. */
+  /**
+   * Records a request that was sent.
+   *
+   * @param request compared by identity only
+   * @param expectedMs expected time to the first event, in milliseconds
+   * @param readTokens tokens that the engine has to prefill
+   * @param fixedMs the part of the expected time that is not prefill
+   * @param alone true if the engine has no other work that this VM knows of
+   */
   void sent(
       Object request,
       double expectedMs,
@@ -82,14 +92,14 @@
     waiting.put(request, new Sent(nowMs, expectedMs, readTokens, fixedMs, alone));
   }
 
-  /** Notes a request's first event. */
+  /** Records the first event of a request. */
   void first(Object request, long nowMs) {
     Sent sent = waiting.remove(request);
     if (sent == null) {
       return;
     }
-    double late = Math.max(0, sent.lateMs(nowMs));
-    lagMs = (1 - LAG_WEIGHT) * decayed(nowMs) + LAG_WEIGHT * late;
+    double delayMs = Math.max(0, sent.lateMs(nowMs));
+    lagMs = (1 - LAG_WEIGHT) * decayed(nowMs) + LAG_WEIGHT * delayMs;
     lagAtMs = nowMs;
     if (sent.alone && sent.readTokens >= MIN_SAMPLE_TOKENS) {
       learn((nowMs - sent.atMs - sent.fixedMs) / sent.readTokens);
@@ -103,7 +113,7 @@
         Math.max(PRIOR_MS_PER_TOKEN / MAX_FACTOR, Math.min(PRIOR_MS_PER_TOKEN * MAX_FACTOR, next));
   }
 
-  /** Notes that a request ended; without a first event its lateness counts in full. */
+  /** Records the end of a request; if it had no first event, its delay counts in full. */
   void ended(Object request, long nowMs) {
     @Nullable Sent sent = waiting.remove(request);
     if (sent != null) {
@@ -112,15 +122,15 @@
     }
   }
 
-  /** Returns the time to read a token on the engine when it is idle, in milliseconds. */
+  /** Returns the prefill time per token of the idle engine, in milliseconds. */
   double msPerToken() {
     return msPerToken;
   }
 
-  /** Returns by how much the next first event is expected later than known work explains. */
+  /** Returns the expected delay of the next first event beyond the known work, in ms. */
   double lagMs(long nowMs) {
     double lag = decayed(nowMs);
-    // Of an empty identity map the whole table would be looked through.
+    // Iterating over an empty IdentityHashMap would scan its whole table.
     if (waiting.isEmpty()) {
       return lag;
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/KeptParts.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/KeptParts.java
@@ -20,21 +20,22 @@
 import java.util.Map;
 
 /**
- * Which parts of prompts an engine probably keeps: those that this VM sent there itself, as far as
- * a share of its memory goes. Parts are named by scope and key.
+ * Estimates the contents of an engine's prefix cache: the prompt parts that this VM sent there
+ * itself, least recently used first out, up to a share of the engine's memory. Parts are identified
+ * by scope and key. Not thread-safe; used on the event loop.
  */
 final class KeptParts {
-  /** Share of an engine's memory that parts which this VM sent are assumed to keep. */
+  /** Share of an engine's memory that the parts sent by this VM are assumed to occupy. */
   private static final double KEPT_SHARE = 0.3;
 
   private final Map<String, Integer> kept = new LinkedHashMap<>(16, 0.75f, true);
   private long keptTokens;
 
-  /** Notes that the engine read a prompt. */
+  /** Records that the engine prefilled a prompt; {@code cacheTokens} is its capacity. */
   void read(String scope, Prompt prompt, int cacheTokens) {
     for (Prompt.Part part : prompt.parts()) {
-      Integer before = kept.put(scope + '/' + part.key(), part.tokens());
-      keptTokens += part.tokens() - (before == null ? 0 : before);
+      Integer previous = kept.put(scope + '/' + part.key(), part.tokens());
+      keptTokens += part.tokens() - (previous == null ? 0 : previous);
     }
     long limit = (long) (cacheTokens * KEPT_SHARE);
     var eldest = kept.entrySet().iterator();
@@ -44,15 +45,15 @@
     }
   }
 
-  /** Returns how many leading tokens of a prompt the engine probably keeps. */
+  /** Returns the number of leading tokens of a prompt that the engine has probably cached. */
   int leadingTokens(String scope, Prompt prompt) {
     return leadingTokens(PartStores.keys(scope, prompt), prompt);
   }
 
   /**
-   * Returns how many leading tokens of a prompt the engine probably keeps.
+   * Returns the number of leading tokens of a prompt that the engine has probably cached.
    *
-   * @param keys of the prompt's parts, by {@link PartStores#keys}
+   * @param keys the keys of the prompt's parts, from {@link PartStores#keys}
    */
   int leadingTokens(List<String> keys, Prompt prompt) {
     int sum = 0;
@@ -62,7 +63,7 @@
     return sum;
   }
 
-  /** Forgets all parts, after the engine's weights changed. */
+  /** Removes all parts; called after the engine's weights changed. */
   void clear() {
     kept.clear();
     keptTokens = 0;
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/LinkBacklog.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/LinkBacklog.java
@@ -19,46 +19,49 @@
 import java.util.List;
 
 /**
- * The moves of kept state that this VM ordered over one link and that are not known to be over. A
- * link carries one move after another.
+ * The KV cache transfers that this VM ordered over one link and that are not known to have ended. A
+ * link carries one transfer after another. Not thread-safe; used on the event loop.
  */
 final class LinkBacklog {
-  /** A move is taken to be over after so many times its expected time, told or not. */
+  /** Multiple of its expected time after which a transfer counts as ended without a report. */
   private static final double OVER_FACTOR = 1.3;
 
   private final List<Move> moves = new ArrayList<>();
 
   /**
-   * A move under way.
+   * A transfer under way.
    *
    * @param owner the request that ordered it, compared by identity
+   * @param linkMs the time for which it occupies the link
+   * @param overAtMs when it counts as ended
    */
   private record Move(Object owner, double linkMs, double overAtMs) {}
 
   /**
-   * Notes a move.
+   * Adds a transfer.
    *
-   * @param linkMs how long it keeps the link busy
-   * @param endsInMs the expected time until its end
+   * @param owner the request that ordered it, compared by identity
+   * @param linkMs time in milliseconds for which it occupies the link
+   * @param endsInMs expected time in milliseconds until it ends
    */
   void add(Object owner, double linkMs, double endsInMs, long nowMs) {
     moves.add(new Move(owner, linkMs, nowMs + endsInMs * OVER_FACTOR));
   }
 
-  /** Notes that all moves of a request are over. */
+  /** Removes all transfers of a request, which have ended. */
   void over(Object owner) {
-    moves.removeIf(move -> move.owner == owner);
+    moves.removeIf(transfer -> transfer.owner == owner);
   }
 
-  /** Returns how long the link is busy with these moves, in milliseconds. */
+  /** Returns the time in milliseconds for which these transfers occupy the link. */
   double ms(long nowMs) {
     if (moves.isEmpty()) {
       return 0;
     }
-    moves.removeIf(move -> move.overAtMs <= nowMs);
+    moves.removeIf(transfer -> transfer.overAtMs <= nowMs);
     double sum = 0;
-    for (Move move : moves) {
-      sum += move.linkMs;
+    for (Move transfer : moves) {
+      sum += transfer.linkMs;
     }
     return sum;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/PartMoves.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/PartMoves.java
@@ -18,14 +18,16 @@
 import java.util.List;
 
 /**
- * Which parts of a prompt an engine fetches and saves, and where.
+ * The transfers of KV cache entries between an engine and stores for one request: which parts of
+ * the prompt the engine fetches and saves, and where. Immutable.
  *
- * @param fetch an address for each part; empty for one that is not fetched
- * @param save likewise for saving
- * @param untilMs a fetch that has not ended by then, on the event loop's clock, is thrown away
+ * @param fetch the address of the source store for each part; empty if the part is not fetched
+ * @param save the address of the target store for each part; empty if the part is not saved
+ * @param untilMs the time on the event loop's clock after which the data of an unfinished fetch is
+ *     discarded
  */
 public record PartMoves(List<String> fetch, List<String> save, long untilMs) {
-  /** Nothing moves. */
+  /** No transfers. */
   public static final PartMoves NONE = new PartMoves(List.of(), List.of(), 0);
 
   public PartMoves {
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/PartRelay.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/PartRelay.java
@@ -30,22 +30,25 @@
 import org.landingtrack.internal.loads.StoreNews.Change;
 
 /**
- * Takes what stores of prompt parts answered, to this VM or to one that hands it on, and hands on
- * what is new. A message that was lost is made up for by the next ones, which repeat the changes of
- * a while; where one is missing nevertheless, the store is asked for all it keeps. What is missed
- * costs a fetch; it never makes a part be believed that is not there. Runs on the event loop.
+ * Receives the updates of KV stores, polled by this VM or forwarded by another one, applies them to
+ * {@link PartStores} and forwards new ones to other VMs.
+ *
+ * <p>Each message repeats the recent changes, so that a lost message is made up for by the next
+ * ones. If a change is missing nevertheless, the full list of the store is requested. A missed
+ * change may cost a fetch, but never makes a part look available that is not there. Runs on the
+ * event loop.
  */
 public final class PartRelay implements StoreNewsBoard {
-  /** Changes are repeated for so long: seven rounds of news. */
+  /** Time in milliseconds for which a change is repeated: seven rounds of messages. */
   private static final long REPEAT_MS = 700;
 
-  /** Changes of one store in one message. */
+  /** Maximum number of changes of one store in one message. */
   private static final int MAX_CHANGES = 40;
 
-  /** A gap makes a VM ask for all at most once in so long. */
+  /** Minimum interval between requests for the full list of a store after gaps, in ms. */
   private static final long LIST_EVERY_MS = 15_000;
 
-  /** A store that answered this VM within this time is asked by it. */
+  /** A store counts as polled by this VM if it answered this VM within this time, in ms. */
   private static final long ASKED_MS = 1_000;
 
   private final EventLoop loop;
@@ -56,7 +59,7 @@
   private Set<String> newInRound = new HashSet<>();
   private Set<String> newSince = new HashSet<>();
 
-  /** What is known of one store. */
+  /** The state of one store. */
   private static final class Relayed {
     private long epoch = -1;
     private long next = -1;
@@ -66,13 +69,19 @@
     private final List<Recent> recent = new ArrayList<>();
   }
 
-  /** A change with the number before it and the time it was heard of. */
+  /**
+   * A recent change.
+   *
+   * @param from number of the change before it
+   * @param heardAtMs when this VM received it, on the event loop's clock
+   */
   private record Recent(Change change, long from, long heardAtMs) {}
 
   /**
    * Creates a relay.
    *
-   * @param wantList asks a store for all it keeps; the answer comes by {@link #listed}
+   * @param wantList requests the full list of the store at an address; the answer is passed to
+   *     {@link #listed}
    */
   public PartRelay(
       EventLoop loop, PartStores parts, ServersClock clock, Consumer<String> wantList) {
@@ -83,9 +92,13 @@
   }
 
   /**
-   * Takes all that a store keeps.
+   * Receives the full list of the parts in a store.
    *
-   * @param askedAtMs when it was asked: a list does not say its time, but is no older than that
+   * @param epoch identifies the incarnation of the store; it changes with each restart
+   * @param askedAtMs when the list was requested, on the event loop's clock; a list has no
+   *     timestamp of its own, but is not older than that
+   * @param next number of the last change that the list contains
+   * @param held the tokens of each part, by its key
    */
   public void listed(
       String address, long epoch, long askedAtMs, long next, Map<String, Integer> held) {
@@ -105,7 +118,7 @@
     }
   }
 
-  /** Of some changes a store never tells; a list shows them, and they are handed on. */
+  /** Forwards parts in a list of which the store never sent a change. */
   private void noteUnheard(
       Relayed store, String address, long epoch, long next, Map<String, Integer> held, long now) {
     PartStore known = parts.find(address);
@@ -120,7 +133,7 @@
         });
   }
 
-  /** Takes an answer of a store to this VM. */
+  /** Receives the answer of a store that this VM polled. */
   public void answered(StoreNews news) {
     take(news, true);
   }
@@ -130,16 +143,16 @@
     take(news, false);
   }
 
-  private void take(StoreNews news, boolean askedHere) {
+  private void take(StoreNews news, boolean polledHere) {
     long now = loop.millis();
     parts.toldEarlier(clock.told(news.serversMs(), now));
     Relayed store = stores.computeIfAbsent(news.address(), name -> new Relayed());
     if (isOlderStart(store, news.epoch(), news.serversMs())) {
       return;
     }
-    boolean isGap = store.epoch != news.epoch() ? news.from() > 0 : news.from() > store.next;
+    boolean hasGap = store.epoch != news.epoch() ? news.from() > 0 : news.from() > store.next;
     begin(store, news.epoch());
-    if (isGap && now - store.listWantedAtMs >= LIST_EVERY_MS) {
+    if (hasGap && now - store.listWantedAtMs >= LIST_EVERY_MS) {
       store.listWantedAtMs = now;
       wantList.accept(news.address());
     }
@@ -147,9 +160,9 @@
     store.next = Math.max(store.next, news.next());
     boolean isNewer = news.serversMs() > store.serversMs;
     store.serversMs = Math.max(store.serversMs, news.serversMs());
-    store.askedAtMs = askedHere ? now : store.askedAtMs;
+    store.askedAtMs = polledHere ? now : store.askedAtMs;
     apply(news, store);
-    if (askedHere || isNewer) {
+    if (polledHere || isNewer) {
       for (Change change : news.changes()) {
         store.recent.add(new Recent(change, Math.min(before, news.from()), now));
       }
@@ -177,7 +190,7 @@
     return now - store.askedAtMs <= ASKED_MS;
   }
 
-  /** News may overtake each other; those of a start before the known one say nothing. */
+  /** Returns true for a message that was overtaken: it is from an earlier incarnation. */
   private static boolean isOlderStart(Relayed store, long epoch, long serversMs) {
     return store.epoch != epoch && store.epoch >= 0 && serversMs <= store.serversMs;
   }
@@ -195,7 +208,7 @@
     newInRound = newSince;
     newSince = new HashSet<>();
     long oldest = loop.millis() - REPEAT_MS;
-    stores.values().forEach(store -> store.recent.removeIf(each -> each.heardAtMs() < oldest));
+    stores.values().forEach(store -> store.recent.removeIf(recent -> recent.heardAtMs() < oldest));
   }
 
   @Override
@@ -215,14 +228,14 @@
 
   private static StoreNews newsOf(String address, Relayed store) {
     int size = store.recent.size();
-    List<Recent> told = store.recent.subList(Math.max(0, size - MAX_CHANGES), size);
+    List<Recent> reported = store.recent.subList(Math.max(0, size - MAX_CHANGES), size);
     long from = store.next;
     Map<String, Change> lastByKey = new LinkedHashMap<>();
-    for (Recent each : told) {
-      from = Math.min(from, each.from());
-      lastByKey.put(each.change().key(), each.change());
+    for (Recent recent : reported) {
+      from = Math.min(from, recent.from());
+      lastByKey.put(recent.change().key(), recent.change());
     }
-    @Nullable Recent oldest = size > MAX_CHANGES ? told.get(0) : null;
+    @Nullable Recent oldest = size > MAX_CHANGES ? reported.get(0) : null;
     return new StoreNews(
         address,
         store.epoch,
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/PartSources.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/PartSources.java
@@ -23,18 +23,20 @@
 import org.landingtrack.internal.serving.ServiceInfo.EngineInfo;
 
 /**
- * Which stores the shared parts of one prompt can be fetched from under one scope, and what that
- * takes. What does not hang on the engine is worked out once: a plan is made for each engine that
- * is considered.
+ * Plans the fetches of one prompt's shared parts in one scope: the stores that hold them and the
+ * time that a fetch takes. Whatever does not depend on the engine is computed once, since a plan is
+ * made for each candidate engine. Not thread-safe; used on the event loop.
  */
 final class PartSources {
-  /** A move between data centres takes so many times as long; from the platform's pages. */
+  /**
+   * Factor by which a transfer between data centres is slower, per the platform's documentation.
+   */
   static final double OTHER_DATA_CENTRE_FACTOR = 2;
 
-  /** A fetch may take so many times as long as reading, since reading keeps an engine busy. */
+  /** A fetch may take longer than prefill by this factor, since prefill occupies the engine. */
   private static final double READ_PATIENCE = 1.5;
 
-  /** A fetch must be expected to end within this share of the time that a belief lasts. */
+  /** Share of the remaining validity of a store's state within which a fetch is to end. */
   private static final double BELIEF_SHARE = 0.7;
 
   private final String scope;
@@ -48,11 +50,11 @@
   private final List<List<Source>> byPart = new ArrayList<>();
 
   /**
-   * A store that has a part.
+   * A store that holds a part. Times are in milliseconds.
    *
-   * @param backlogMs how long its link is busy
-   * @param nearMs how long the fetch keeps the links busy within a data centre
-   * @param farMs likewise from another one
+   * @param backlogMs time for which its link is busy
+   * @param nearMs link time of the fetch within a data centre
+   * @param farMs link time of the fetch between data centres
    */
   private record Source(PartStore store, double backlogMs, double nearMs, double farMs) {
     double linkMs(String dataCentre) {
@@ -61,19 +63,21 @@
   }
 
   /**
-   * What an engine fetches.
+   * The planned fetch of an engine.
    *
-   * @param sources one for each part, null where there is none or none is worth it
-   * @param tokens those that the engine lacks and fetches; they follow what it keeps
-   * @param ms the expected time until they are there
-   * @param linkMs how long that keeps links busy
+   * @param sources the source of each part, or null if there is none or a fetch is not worthwhile
+   * @param tokens number of tokens that the engine lacks and fetches; they directly follow its
+   *     cached prefix
+   * @param ms expected time until the fetch ends, in milliseconds
+   * @param linkMs time for which the fetch occupies the links, in milliseconds
    */
   record Fetch(List<@Nullable PartStore> sources, int tokens, double ms, double linkMs) {}
 
   /**
-   * Looks up which stores keep the shared parts of a prompt.
+   * Looks up the stores that hold the shared parts of a prompt.
    *
-   * @param allowed the stores where its kept state may lie
+   * @param allowed accepts the stores in which the prompt's KV cache entries may be kept
+   * @param now the time on the event loop's clock, in milliseconds
    */
   PartSources(
       String scope,
@@ -99,10 +103,10 @@
 
   private List<Source> holding(int index) {
     int tokens = prompt.parts().get(index).tokens();
-    List<Source> holding = new ArrayList<>();
+    List<Source> found = new ArrayList<>();
     for (PartStore store : stores.holding(keys.get(index), now)) {
       if (allowed.test(store)) {
-        holding.add(
+        found.add(
             new Source(
                 store,
                 stores.backlogMs(store),
@@ -110,22 +114,22 @@
                 store.linkMs(tokens, info, false)));
       }
     }
-    return holding;
+    return found;
   }
 
-  /** Returns the keys under which the prompt's parts are kept. */
+  /** Returns the cache keys of the prompt's parts, in order. */
   List<String> keys() {
     return keys;
   }
 
   /**
-   * Plans what an engine fetches. Parts that it is believed to keep get a source as well, since the
-   * belief may be wrong and an engine fetches only what it lacks.
+   * Plans the fetch of an engine. Parts that the engine has probably cached get a source as well,
+   * since the estimate may be wrong and an engine fetches only the parts that it lacks.
    *
-   * @param keptTokens leading tokens that the engine is believed to keep
-   * @param patienceMs how long a fetch may take at least, to be better than reading
+   * @param keptTokens leading tokens that the engine has probably cached
+   * @param maxFetchMs time in milliseconds that a fetch may take even if prefill is faster
    */
-  Fetch plan(Backend target, int keptTokens, double patienceMs) {
+  Fetch plan(Backend target, int keptTokens, double maxFetchMs) {
     List<@Nullable PartStore> sources = new ArrayList<>();
     String dataCentre = target.entry().dataCentre();
     double targetMs = byPart.isEmpty() ? 0 : target.backlogMs(now, peerLoads);
@@ -133,23 +137,23 @@
     double waitMs = 0;
     double linkMs = 0;
     int end = 0;
-    boolean unbroken = true;
+    boolean isContiguous = true;
     for (int i = 0; i < byPart.size(); i++) {
       Prompt.Part part = prompt.parts().get(i);
       end += part.tokens();
       Source source = best(byPart.get(i), targetMs, dataCentre);
       double partMs = source == null ? 0 : fetchMs(source, targetMs, dataCentre);
-      int lacking = Math.max(0, Math.min(part.tokens(), end - keptTokens));
-      if (source != null && !isWorth(source.store, target, part.tokens(), partMs, patienceMs)) {
+      int missingTokens = Math.max(0, Math.min(part.tokens(), end - keptTokens));
+      if (source != null && !isWorth(source.store, target, part.tokens(), partMs, maxFetchMs)) {
         source = null;
       }
       sources.add(source == null ? null : source.store);
-      if (lacking == 0) {
+      if (missingTokens == 0) {
         continue;
       }
-      unbroken &= source != null;
-      if (unbroken && source != null) {
-        tokens += lacking;
+      isContiguous &= source != null;
+      if (isContiguous && source != null) {
+        tokens += missingTokens;
         double partLinkMs = source.linkMs(dataCentre);
         waitMs = Math.max(waitMs, partMs - partLinkMs);
         linkMs += partLinkMs;
@@ -159,10 +163,10 @@
     return new Fetch(sources, tokens, waitMs + linkMs, linkMs);
   }
 
-  private static @Nullable Source best(List<Source> holding, double targetMs, String dataCentre) {
+  private static @Nullable Source best(List<Source> found, double targetMs, String dataCentre) {
     Source best = null;
     double bestMs = Double.POSITIVE_INFINITY;
-    for (Source source : holding) {
+    for (Source source : found) {
       double ms = fetchMs(source, targetMs, dataCentre);
       if (ms < bestMs) {
         bestMs = ms;
@@ -182,17 +186,18 @@
   }
 
   private boolean isWorth(
-      PartStore source, Backend target, int tokens, double ms, double patienceMs) {
+      PartStore source, Backend target, int tokens, double ms, double maxFetchMs) {
     double leftMs = source.fetchUntilMs() - now;
     double readMs = tokens * target.msPerToken();
-    return ms <= Math.max(readMs * READ_PATIENCE, patienceMs) && ms <= leftMs * BELIEF_SHARE;
+    return ms <= Math.max(readMs * READ_PATIENCE, maxFetchMs) && ms <= leftMs * BELIEF_SHARE;
   }
 
   /**
-   * Returns the moves of a planned fetch, and of saving what no store has, and notes them.
+   * Returns the transfers of a planned fetch and of the saves of parts that no store holds, and
+   * records them in the link backlogs.
    *
-   * @param request whose fetches these are, for {@link PartStores#fetched}
-   * @param keptTokens leading tokens that the engine is believed to keep
+   * @param request the owner of the fetches, for {@link PartStores#fetched}
+   * @param keptTokens leading tokens that the engine has probably cached
    */
   PartMoves moves(Object request, Backend target, Fetch fetch, int keptTokens) {
     return new PartMoves(
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/PartStore.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/PartStore.java
@@ -21,31 +21,39 @@
 import org.landingtrack.internal.serving.ServiceInfo.EngineInfo;
 
 /**
- * What this VM knows of one store of prompt parts. The store frees nothing by itself, so a part
- * that was whole stays whole until the store starts anew, empty.
+ * This VM's view of one KV store, which keeps KV cache entries of prompt parts. The store evicts
+ * nothing by itself, so a part that is complete stays complete until the store restarts, empty.
  *
- * <p>What is known is used only for a short time after the store confirmed it, shorter than a store
- * takes to start anew: what a VM believes of the start before is over when the store can be written
- * again. After a new start nothing is saved there for longer than that once more, since VMs may
- * have heard from the old start until its end.
+ * <p>The view is valid only for a short time after the store confirmed it. That time is shorter
+ * than a restart of the store, so what a VM knows of the previous incarnation has expired before
+ * the new one can be written to. After a restart nothing is saved there for that time and a margin,
+ * since other VMs may have received answers of the previous incarnation until its end.
+ *
+ * <p>Not thread-safe; used on the event loop. All times are in milliseconds on its clock.
  */
 public final class PartStore {
-  /** What the store said last is believed for so long; each fetch ends within it. */
+  /** Time for which an answer of the store is valid; each fetch ends within it. */
   static final long BELIEF_MS = 900;
 
-  /** A fetch needs so much of that time. */
+  /** Minimum remaining validity that a fetch needs. */
   static final long MIN_FETCH_MS = 300;
 
-  /** Beyond the belief of other VMs: their clocks and the way of the store's answers. */
+  /**
+   * Margin beyond the validity of other VMs' views: allows for their clocks and for the delay of
+   * the store's answers.
+   */
   private static final long SAVE_MARGIN_MS = 500;
 
-  /** A part whose saving was ordered is not ordered again for so long. */
+  /** Time after which saving a part may be ordered again. */
   private static final long SAVE_AGAIN_MS = 3_000;
 
   static final double MEGABIT_BYTES = 125_000;
   static final double MS_PER_SECOND = 1_000;
 
-  /** Share of the room that is filled; parts that broke off take room that is not seen. */
+  /**
+   * Share of the capacity that is filled; parts of interrupted saves take space that the store does
+   * not report.
+   */
   private static final double FULL_SHARE = 0.97;
 
   private final StoreInfo info;
@@ -59,7 +67,13 @@
   private long confirmedAtMs = Long.MIN_VALUE / 2;
   private long savesFromMs = Long.MIN_VALUE / 2;
 
-  /** A store as configured. */
+  /**
+   * The configuration of a store.
+   *
+   * @param capacityTokens capacity of the store in tokens
+   * @param linkMbps speed of its link in Mbit/s
+   * @param firstMs fixed latency of a fetch in milliseconds
+   */
   public record StoreInfo(
       String name,
       String address,
@@ -81,7 +95,12 @@
     return addressHash;
   }
 
-  /** Takes all that the store keeps. */
+  /**
+   * Replaces the known parts by a full list.
+   *
+   * @param parts the tokens of each part, by its key
+   * @param atMs when the store had them
+   */
   void replaceAll(long storeEpoch, Map<String, Integer> parts, long atMs, long nowMs) {
     noteEpoch(storeEpoch, nowMs);
     whole.clear();
@@ -93,29 +112,38 @@
     confirmedAtMs = Math.max(confirmedAtMs, atMs);
   }
 
-  /** Notes that the store answered at a time for a start of it, with what changed. */
+  /**
+   * Records an answer of the store; the changes in it follow by {@link #added} and {@link
+   * #removed}.
+   *
+   * @param storeEpoch the incarnation of the store that answered
+   * @param atMs when it answered
+   */
   void confirmed(long storeEpoch, long atMs, long nowMs) {
     noteEpoch(storeEpoch, nowMs);
     confirmedAtMs = Math.max(confirmedAtMs, atMs);
   }
 
-  /** Notes that the store answered so much earlier than was taken. */
+  /** Corrects the time of the last answer: it was earlier than assumed by {@code ms}. */
   void confirmedEarlier(long ms) {
     confirmedAtMs -= ms;
   }
 
   void added(String key, int tokens) {
-    Integer before = whole.put(key, tokens);
-    heldTokens += tokens - (before == null ? 0 : before);
+    Integer previous = whole.put(key, tokens);
+    heldTokens += tokens - (previous == null ? 0 : previous);
     savingSinceMs.remove(key);
   }
 
   void removed(String key) {
-    Integer before = whole.remove(key);
-    heldTokens -= before == null ? 0 : before;
+    Integer previous = whole.remove(key);
+    heldTokens -= previous == null ? 0 : previous;
   }
 
-  /** A first sight of the store may be a new start of it as well. */
+  /**
+   * Discards the view if the incarnation changed. The first answer may come from a restarted store
+   * as well, so saves are delayed then, too.
+   */
   private void noteEpoch(long storeEpoch, long nowMs) {
     if (epoch == storeEpoch) {
       return;
@@ -128,7 +156,7 @@
     savesFromMs = nowMs + BELIEF_MS + SAVE_MARGIN_MS;
   }
 
-  /** Returns until when what is known may be used; in the past if it is too old. */
+  /** Returns the time until which the view is valid; in the past if it has expired. */
   long fetchUntilMs() {
     return confirmedAtMs + BELIEF_MS;
   }
@@ -137,22 +165,26 @@
     return whole.containsKey(key) && fetchUntilMs() - nowMs >= MIN_FETCH_MS;
   }
 
-  /** Returns the saves that this VM ordered over the store's link. */
+  /** Returns the backlog of the saves that this VM ordered over the store's link. */
   LinkBacklog saves() {
     return saves;
   }
 
-  /** Returns the fetches that this VM ordered over the store's link. */
+  /** Returns the backlog of the fetches that this VM ordered over the store's link. */
   LinkBacklog backlog() {
     return backlog;
   }
 
-  /** Returns how long a move between an engine and this store keeps both links busy. */
+  /** Returns the time for which a transfer between an engine and this store occupies both links. */
   double linkMs(int tokens, EngineInfo engine, String engineDataCentre) {
     return linkMs(tokens, engine, info.dataCentre().equals(engineDataCentre));
   }
 
-  /** Likewise; {@code near} says whether the engine is in the store's data centre. */
+  /**
+   * Returns the time for which a transfer between an engine and this store occupies both links.
+   *
+   * @param near true if the engine is in the store's data centre
+   */
   double linkMs(int tokens, EngineInfo engine, boolean near) {
     double mbps = Math.min(engine.linkMbps(), info.linkMbps());
     double bytesPerMs = mbps * MEGABIT_BYTES / MS_PER_SECOND;
@@ -164,7 +196,7 @@
     return whole.containsKey(key);
   }
 
-  /** Returns true if a part should be saved here. */
+  /** Returns true if a part may be saved here now. */
   boolean canSave(String key, int tokens, long nowMs) {
     return nowMs >= savesFromMs
         && fetchUntilMs() - nowMs >= MIN_FETCH_MS
@@ -173,10 +205,10 @@
         && heldTokens + tokens <= info.capacityTokens() * FULL_SHARE;
   }
 
-  /** Returns true if this VM ordered a part to be saved here a short time ago. */
+  /** Returns true if this VM ordered to save a part here recently. */
   boolean isSaving(String key, long nowMs) {
-    Long since = savingSinceMs.get(key);
-    return since != null && nowMs - since < SAVE_AGAIN_MS;
+    Long orderedAtMs = savingSinceMs.get(key);
+    return orderedAtMs != null && nowMs - orderedAtMs < SAVE_AGAIN_MS;
   }
 
   void saving(String key, long nowMs) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/PartStores.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/PartStores.java
@@ -29,20 +29,27 @@
 import org.landingtrack.internal.serving.PartStore.StoreInfo;
 import org.landingtrack.internal.serving.ServiceInfo.EngineInfo;
 
-/** The stores of prompt parts: what may be fetched from where, and what is saved where. */
+/**
+ * The KV stores that this VM knows: finds the stores from which a prompt part can be fetched, and
+ * selects the ones where parts are saved. Not thread-safe; used on the event loop.
+ */
 public final class PartStores {
-  /** Parts of fewer tokens than this are quicker read than moved. */
+  /** Parts with fewer tokens than this take less time to prefill than to transfer. */
   private static final int MIN_TOKENS = 64;
 
-  /** Longer parts than this go to the largest stores, but for a prompt's first one. */
+  /** Parts with more tokens than this are saved in the largest stores, except a prompt's first. */
   private static final int LONG_TOKENS = 1_000;
 
-  /** Engines give up a move that would wait for two seconds; half of that keeps clear of it. */
+  /**
+   * Maximum expected time of a save in milliseconds. Engines give up a transfer that would wait for
+   * two seconds; half of that leaves a safe margin.
+   */
   private static final double MAX_SAVE_WAIT_MS = 1_000;
 
   /**
-   * The owner of all saves: no answer tells of their end. They count where another save is to go
-   * and not in the expected time of fetches: counted there, more was read than had to be.
+   * The owner of all saves in the link backlogs, since no answer reports their end. Saves count
+   * when the store for another save is selected, but not in the expected time of fetches: counted
+   * there, they caused more prefill than necessary.
    */
   private static final Object SAVES = new Object();
 
@@ -52,13 +59,13 @@
   private List<PartStore> fastest = List.of();
   private List<PartStore> largest = List.of();
 
-  /** Creates a view of no store; {@code peerLoads} tells what other VMs move. */
+  /** Creates a view without stores; {@code peerLoads} reports the transfers of other VMs. */
   public PartStores(EventLoop loop, PeerLoads peerLoads) {
     this.loop = loop;
     this.peerLoads = peerLoads;
   }
 
-  /** Takes the stores of a configuration; returns those that are new. */
+  /** Applies the stores of a configuration; returns those that are new or changed. */
   public List<StoreInfo> configure(Collection<StoreInfo> stores) {
     List<StoreInfo> added = new ArrayList<>();
     Map<String, PartStore> before = new HashMap<>(byAddress);
@@ -79,7 +86,7 @@
     return added;
   }
 
-  /** Returns the stores that are equal in what counts, the best first. */
+  /** Returns all stores that rank first by {@code order}, sorted by address. */
   private List<PartStore> first(Comparator<PartStore> order) {
     List<PartStore> all = new ArrayList<>(byAddress.values());
     all.sort(order.thenComparing(store -> store.info().address()));
@@ -92,21 +99,21 @@
     return best;
   }
 
-  /** Returns a store by its address, or null if the configuration lacks it. */
+  /** Returns a store by its address, or null if it is not configured. */
   @Nullable PartStore find(String address) {
     return byAddress.get(address);
   }
 
   /**
-   * Notes that what stores confirmed was told earlier than was taken. Without this, an answer that
-   * lay in the socket while this VM stood still, and was the first to tell the servers' time, was
-   * believed for 0.9 s as if it were new.
+   * Corrects the times of the last answers of all stores: they were {@code ms} earlier
+   * than assumed. Without this, an answer that waited in the socket while this VM was suspended, and was the
+   * first to report the servers' time, was treated as new and used for 0.9 s.
    */
   void toldEarlier(long ms) {
     byAddress.values().forEach(store -> store.confirmedEarlier(ms));
   }
 
-  /** Takes all that a store kept at a time, each as SCOPE/PART with its tokens. */
+  /** Applies the full list of a store: the tokens of each part at {@code atMs}, by SCOPE/PART. */
   void listed(String address, long epoch, long atMs, Map<String, Integer> parts) {
     PartStore store = byAddress.get(address);
     if (store != null) {
@@ -114,7 +121,7 @@
     }
   }
 
-  /** Takes what had changed in a store at a time. */
+  /** Applies the changes in a store up to {@code atMs}. */
   void changed(
       String address,
       long epoch,
@@ -142,10 +149,11 @@
   }
 
   /**
-   * Returns where the shared parts of a prompt are saved that no store has, and notes that.
+   * Selects the stores in which the engine saves those shared parts of a prompt that no store has,
+   * and records the saves. Returns the store's address for each part; empty if it is not saved.
    *
-   * @param engine the engine that will have them
-   * @param allowed the stores where they may lie
+   * @param engine the engine that will have the parts
+   * @param allowed accepts the stores in which the parts may be kept
    */
   List<String> save(
       String scope, Prompt prompt, EngineInfo info, Backend engine, Predicate<PartStore> allowed) {
@@ -154,9 +162,11 @@
     int shared = prompt.parts().size() - 1;
     for (int i = 0; i < prompt.parts().size(); i++) {
       Prompt.Part part = prompt.parts().get(i);
-      boolean isKept = i >= shared || !holding(key(scope, part), now).isEmpty();
+      boolean isSkipped = i >= shared || !holding(key(scope, part), now).isEmpty();
       PartStore target =
-          isKept ? null : target(scope, prompt, i, info, engine.entry().dataCentre(), allowed, now);
+          isSkipped
+              ? null
+              : target(scope, prompt, i, info, engine.entry().dataCentre(), allowed, now);
       save.add(target == null ? "" : target.info().address());
       if (target != null) {
         target.saving(key(scope, part), now);
@@ -168,7 +178,7 @@
     return save;
   }
 
-  /** Returns what this VM moves over the links of stores, as other VMs are told. */
+  /** Returns this VM's fetches over the links of stores, as it reports them to other VMs. */
   List<Load> ownLoads() {
     long now = loop.millis();
     List<Load> loads = new ArrayList<>();
@@ -181,21 +191,23 @@
     return loads;
   }
 
-  /** Notes that the fetches of a request are over. */
+  /** Records that the fetches of a request have ended. */
   void fetched(Object request) {
     for (PartStore store : byAddress.values()) {
       store.backlog().over(request);
     }
   }
 
-  /** Returns how long a store's link is busy with the known moves of all VMs, in milliseconds. */
+  /** Returns the time in ms for which the known fetches of all VMs occupy a store's link. */
   double backlogMs(PartStore store) {
     return store.backlog().ms(loop.millis()) + peerLoads.movingMs(store.addressHash());
   }
 
   /**
-   * Short parts, and the first ones, which most prompts share, go to the fastest stores; long ones
-   * to the largest, or they would fill the fast ones. Where there is no room, any other will do.
+   * Selects the store for a part, or returns null if it is not saved. Short parts, and the first
+   * part, which most prompts share, are saved in the fastest stores; long ones in the largest
+   * stores, as they would fill the fast ones. If none of these can take the part, any other store
+   * may.
    */
   private @Nullable PartStore target(
       String scope,
@@ -218,7 +230,7 @@
         : soonest(byAddress.values(), key, part, info, dataCentre, allowed, now);
   }
 
-  /** Also a store that is not believed at the moment has the part, or will. */
+  /** Returns true if any store has the part or is saving it, even if its state has expired. */
   private boolean isSavedAnywhere(String key, long now) {
     for (PartStore store : byAddress.values()) {
       if (store.holds(key) || store.isSaving(key, now)) {
@@ -252,7 +264,7 @@
     return best;
   }
 
-  /** Equal stores share the parts evenly. */
+  /** Breaks ties by hash, so that parts are spread evenly over equal stores. */
   private static boolean isPreferred(long partHash, PartStore store, PartStore other) {
     return Hashes.weight(partHash, store.addressHash())
         > Hashes.weight(partHash, other.addressHash());
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/SendPlanner.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/SendPlanner.java
@@ -32,14 +32,14 @@
 import org.landingtrack.internal.serving.ServerChooser.Choice;
 
 /**
- * Plans the sends of one request: the server, the weights that it must have, the scope of kept
- * state, and the parts that are moved.
+ * Plans the attempts of one request: the backend server, the weight version that it must have, the
+ * scope of its KV cache entries, and the prompt parts to transfer. Runs on the event loop.
  */
 final class SendPlanner {
   /**
-   * What was sent to an engine with replaced weights must begin there so long after the last moment
-   * for such a send; that leaves half a second of the bound. Requests waited 2.3 s in the queues of
-   * slow engines.
+   * Time in milliseconds after the last allowed send to an engine with replaced weights within
+   * which the engine must start the request. It leaves half a second of the overall bound. Without
+   * this limit, requests waited up to 2.3 s in the queues of slow engines.
    */
   private static final long BEGIN_MS = 700;
 
@@ -56,19 +56,20 @@
   private final BackendHealth health;
   private final Homes homes;
 
-  /** The servers that were passed over in the last plan, by why. */
+  /** The servers that the last plan skipped, by reason. */
   private final Map<Bar, List<Backend>> barred = new EnumMap<>(Bar.class);
 
   /**
-   * Where a send goes.
+   * The plan of one attempt.
    *
-   * @param candidates servers that could have had it
-   * @param choice the server, with what decided
-   * @param priority what the server is told, or less than 0 for nothing
-   * @param weights the version that the server must have, or 0 where it does not matter
-   * @param sources who keeps the parts of the prompt, or null if there are none
-   * @param work what the request is for the server
-   * @param probe true if it tries a server that is ejected
+   * @param choice the selected server and its estimates
+   * @param candidates number of servers that could have been selected
+   * @param priority the priority sent to the server; negative to send none
+   * @param weights the weight version that the server must have; 0 if any version will do
+   * @param scope the scope of the KV cache entries
+   * @param sources the stores that hold the parts of the prompt, or null if none were looked up
+   * @param work the kind of work that the request is for the server
+   * @param probe true if the attempt probes an ejected server
    */
   record SendPlan(
       Choice choice,
@@ -85,12 +86,12 @@
       return choice.backend();
     }
 
-    /** Returns the tokens of the prompt that the server probably keeps or fetches. */
+    /** Returns the number of prompt tokens that the server probably has cached or fetches. */
     int keptOrFetchedTokens() {
       return choice.keptTokens() + choice.fetchedTokens();
     }
 
-    /** Returns the tokens for which an engine has room; 0 where the server is no engine. */
+    /** Returns the KV cache capacity of an engine in tokens; 0 if the server is not an engine. */
     int cacheTokens() {
       return info.engine() == null ? 0 : info.engine().cacheTokens();
     }
@@ -112,7 +113,7 @@
     this.homes = team == null ? route.homes() : route.homes().and(team.homes());
   }
 
-  /** Returns the plan of the next send, or null if no server may have the request. */
+  /** Plans the next attempt; returns null if no server is eligible. */
   @Nullable SendPlan plan(SendHistory history) {
     ServingConfig config = state.config();
     ServiceInfo info = config == null ? null : config.service(service);
@@ -126,17 +127,17 @@
             .servers()
             .usable(service, backend -> isEligible(backend, terms), !history.hasFurtherSend(route));
     List<Backend> recent = recentEnough(usable, oldestWeights());
-    boolean gamble = recent.isEmpty() && !usable.isEmpty();
+    boolean tryNewest = recent.isEmpty() && !usable.isEmpty();
     Backend probed = probed(history, terms);
     Map<Long, PartSources> sources = new HashMap<>();
     Choice choice =
         ServerChooser.choose(
-            probed != null ? List.of(probed) : gamble ? usable : recent,
+            probed != null ? List.of(probed) : tryNewest ? usable : recent,
             query(info, weights -> sources(sources, weights, info)));
     if (choice == null) {
       return null;
     }
-    long weights = weightsOf(choice.backend(), gamble);
+    long weights = weightsOf(choice.backend(), tryNewest);
     return new SendPlan(
         choice,
         info,
@@ -149,7 +150,7 @@
         probed != null);
   }
 
-  /** Returns the ejected server that the request is to try, or null if it tries none. */
+  /** Returns the ejected server that the request probes, or null if it probes none. */
   private @Nullable Backend probed(SendHistory history, Eligibility.Terms terms) {
     if (!health.suits(request, route, service, history)) {
       return null;
@@ -173,7 +174,7 @@
   }
 
   /**
-   * Returns why there was no server in the last plan, with the number of servers for each cause.
+   * Returns why the last plan found no server, with the number of skipped servers for each reason.
    */
   String whyNone() {
     StringBuilder why = new StringBuilder("no usable server of " + service);
@@ -183,38 +184,39 @@
   }
 
   /**
-   * Returns how long a request that has no server is expected to wait until one of those that were
-   * passed over for the moment may have it; the largest number if there is none.
+   * Returns the expected wait in milliseconds until a server that was skipped temporarily (cold or
+   * limited) becomes eligible for the request; {@link Long#MAX_VALUE} if there is none.
    *
-   * @param before requests of this VM that wait as well
+   * @param queuedBefore number of requests queued at this VM ahead of this one
    */
-  long waitMs(int before) {
+  long waitMs(int queuedBefore) {
     ServingConfig config = state.config();
     ServiceInfo info = config == null ? null : config.service(service);
-    long waitMs = limitedWaitMs(before);
-    List<Backend> coldServers = barred.get(Bar.COLD);
-    if (info == null || coldServers == null) {
+    long waitMs = limitedWaitMs(queuedBefore);
+    List<Backend> skippedCold = barred.get(Bar.COLD);
+    if (info == null || skippedCold == null) {
       return waitMs;
     }
-    return Math.min(waitMs, cold.waitMs(coldServers, info, before));
+    return Math.min(waitMs, cold.waitMs(skippedCold, info, queuedBefore));
   }
 
-  /** Late requests wait behind others, so that one which would be late may never have its turn. */
-  private long limitedWaitMs(int before) {
-    long waitMs = limited.waitMs(barred.getOrDefault(Bar.LIMITED, List.of()), before);
+  /** Late requests queue behind others, so one that would become late may never be served. */
+  private long limitedWaitMs(int queuedBefore) {
+    long waitMs = limited.waitMs(barred.getOrDefault(Bar.LIMITED, List.of()), queuedBefore);
     long ageMs = loop.millis() - request.receivedAtMs();
     return EngineAdmission.isLate(ageMs + waitMs, route.targetLatencyMs())
         ? Long.MAX_VALUE
         : waitMs;
   }
 
-  /** Returns true if a server was passed over for the moment only. */
+  /** Returns true if the last plan skipped a server only temporarily. */
   boolean mayHaveTurn() {
     return barred.containsKey(Bar.COLD) || barred.containsKey(Bar.LIMITED);
   }
 
   /**
-   * Returns how long the first of the servers that rest does so; the largest number if none does.
+   * Returns the shortest remaining backoff, in milliseconds, of the servers that asked for one;
+   * {@link Long#MAX_VALUE} if none did.
    */
   long restLeftMs() {
     long leftMs = Long.MAX_VALUE;
@@ -224,7 +226,7 @@
     return leftMs;
   }
 
-  /** Notes that a planned send now begins. */
+  /** Records that a planned attempt starts now. */
   void begins(SendPlan plan) {
     cold.sent(plan.backend(), plan.info());
     limited.sent(plan.backend());
@@ -270,27 +272,30 @@
   }
 
   /**
-   * Kept state is found only under the scope in which it was made: a version of the weights, and
-   * the team if it is isolated.
+   * Returns the scope of the request's KV cache entries: the weight version, and the team if it is
+   * isolated. Entries are found only in the scope in which they were created.
    */
   private String scope(long weights) {
     String version = "v" + weights;
     return team != null && team.isolated() ? version + "-" + team.name() : version;
   }
 
-  /** An engine of which no weights are known is asked for the newest, which it refuses or has. */
-  private long weightsOf(Backend backend, boolean gamble) {
+  /**
+   * Returns the weight version that the server must have. If none is known, the newest version is
+   * required; the engine refuses the request if it has another one.
+   */
+  private long weightsOf(Backend backend, boolean tryNewest) {
     Prompt prompt = request.prompt();
     if (prompt == null) {
       return 0;
     }
     long known = backend.weights(prompt.model());
-    return gamble || known == 0 ? newestWeights().orElse(0) : known;
+    return tryNewest || known == 0 ? newestWeights().orElse(0) : known;
   }
 
   /**
-   * Returns the moves of a send that now begins, and notes them. Parts are moved only under a
-   * version that the server must have, and was chosen with.
+   * Returns the KV transfers of an attempt that starts now, and records them. Parts are transferred
+   * only if a weight version is required and the server was selected with it.
    */
   PartMoves moves(SendPlan plan) {
     Choice choice = plan.choice();
@@ -303,10 +308,10 @@
   }
 
   /**
-   * Returns what the server is sent.
+   * Returns the call that is sent to the server.
    *
-   * @param leftMs how long it may work on it
-   * @param resumeAfter id of the last event that the caller already has, or null
+   * @param leftMs time in milliseconds that the server has for the request
+   * @param resumeAfter id of the last event that the caller received, or null
    */
   BackendCall call(SendPlan plan, PartMoves moves, long leftMs, @Nullable String resumeAfter) {
     Backend backend = plan.backend();
@@ -327,7 +332,11 @@
         () -> backend.notices() == notices);
   }
 
-  /** Returns how long from now the server may begin, by its weights or since it is only tried. */
+  /**
+   * Returns the time in milliseconds from now within which the server must start the request,
+   * because its weights have been replaced or the attempt is a probe; {@link Long#MAX_VALUE} if
+   * unlimited.
+   */
   long mayBeginMs(SendPlan plan) {
     Prompt prompt = request.prompt();
     long mostMs = plan.probe() ? health.probeMs(route) : Long.MAX_VALUE;
@@ -338,7 +347,7 @@
     return Math.min(mostMs, state.replacedLeftMs(prompt.model(), plan.weights(), replacedMs));
   }
 
-  /** Returns what decided a send, for the log. */
+  /** Returns the facts behind a routing decision, for the log. */
   RouteFacts facts(SendPlan plan, PartMoves moves, int sends) {
     ServingConfig config = state.config();
     Prompt prompt = request.prompt();
@@ -377,8 +386,9 @@
   }
 
   /**
-   * Returns the servers whose weights are not too old. What is known of them may lag; where none is
-   * left, any may be asked for the newest version, which it refuses if it has another.
+   * Returns the servers whose weights are not too old. The known versions may be outdated. If no
+   * server is left, the caller may try any server with the newest version, and the server refuses
+   * the request if it has another one.
    */
   private List<Backend> recentEnough(List<Backend> usable, OptionalLong oldest) {
     Prompt prompt = request.prompt();
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerChooser.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerChooser.java
@@ -27,55 +27,81 @@
 import org.landingtrack.internal.serving.ServiceInfo.EngineInfo;
 
 /**
- * Chooses the backend server for a request: the one on which it is expected to start first, where
- * reading what is not kept counts as time. Pure but for the order of the candidates.
+ * Selects the backend server for a request: the one with the lowest estimated cost, which is the
+ * expected time to the first event, including the prefill of tokens that are not cached, plus the
+ * cost to other requests. Stateless; the result depends on the order of the candidates only for
+ * ties.
  */
 final class ServerChooser {
-  /** What a request in another data centre costs more, in milliseconds of waiting. */
+  /** Extra cost of a server in another data centre, in milliseconds of waiting. */
   private static final double OTHER_DATA_CENTRE_MS = 12;
 
-  /** Assumed delay by each request that an engine already runs. */
+  /** Assumed delay by each request that an engine already runs, in milliseconds. */
   private static final double MS_PER_RUNNING = 1.0;
 
-  /** Requests that need an engine's whole memory are over in about this time. */
+  /** Time in which requests that fill an engine's whole memory complete, approximately. */
   private static final double MS_PER_MEMORY = 1_000;
 
-  /** Assumed delay by each request that a plain server already runs. */
+  /** Assumed delay by each request that a server without an engine already runs, in ms. */
   private static final double MS_PER_PLAIN_REQUEST = 40;
 
-  /** Share of the shared parts that the prompt's home server is assumed to keep unseen. */
+  /**
+   * Share of a prompt's shared parts that its affinity server is assumed to have cached, although
+   * this VM did not see it: other VMs may have sent them there.
+   */
   private static final double HOME_KEPT = 0.5;
 
-  /** VMs that send a prompt nobody keeps at the same time should meet at its home. */
+  /**
+   * Extra cost, in milliseconds, of any server but the prompt's affinity server, so that VMs that
+   * send the same uncached prompt at the same time select the same server.
+   */
   private static final double NOT_HOME_MS = 10;
 
-  /** What is fetched takes the room of other parts, which cost as much again to bring back. */
+  /**
+   * Share of the fetched tokens' prefill time that is charged for the parts which a fetch evicts;
+   * they take as long to restore.
+   */
   private static final double DISPLACED_SHARE = 0.4;
 
-  /** A fetch may take this share of the time that is left of the route's target. */
+  /** Share of the remaining target latency of the route that a fetch may take. */
   private static final double TARGET_SHARE = 0.4;
 
-  /** Passing over a server that refused lately is worth so much waiting. */
+  /** Extra cost of a server that refused a request recently, in milliseconds of waiting. */
   private static final double REFUSED_MS = 400;
 
-  /** Passing over a server with old weights is worth so much waiting. */
+  /** Extra cost of a server with old weights, in milliseconds of waiting. */
   private static final double OLD_WEIGHTS_MS = 40;
 
-  /** Turns of a rollout: servers below this load new weights now. */
+  /** Rollout position below which servers load new weights now. */
   private static final double LOADING_NOW = 1;
 
-  /** Servers below this load now or next. */
+  /** Rollout position below which servers load new weights now or next. */
   private static final double LOADING_NEXT = 1.67;
 
-  /** A load takes about 0.8 s, and a request that comes before it is refused or waits for it. */
+  /**
+   * Extra cost of a server that loads new weights now: loading takes about 0.8 s, and a request
+   * that arrives before that is refused or waits.
+   */
   private static final double LOADING_MS = 800;
 
-  /** Emptying a server before its load shortens the load. */
+  /**
+   * Extra cost of a server that loads new weights next: loading is shorter if the server has no
+   * requests under way.
+   */
   private static final double LOADING_SOON_MS = 150;
 
   private ServerChooser() {}
 
-  /** What is known of a request. */
+  /**
+   * The properties of a request that selection depends on.
+   *
+   * @param dataCentre the data centre of this VM
+   * @param engine the engine settings of the service, or null if it is not a model engine
+   * @param sources returns the possible fetches for a weight version
+   * @param rolloutTurn returns a server's position in the rollout of new weights
+   * @param keyHash hash of the key that selects the affinity server
+   * @param targetLeftMs remaining target latency of the route, in milliseconds
+   */
   record Query(
       String dataCentre,
       @Nullable EngineInfo engine,
@@ -89,16 +115,16 @@
       long nowMs) {}
 
   /**
-   * A chosen server with what decided.
+   * A server with the estimates for a request. Times are in milliseconds.
    *
-   * @param keptTokens leading tokens of the prompt that the server probably keeps
-   * @param fetch what it fetches, or null for a server that is no engine
-   * @param waitMs the time until it begins, if there is memory for it
-   * @param memoryShare what part of an engine's memory requests would need with this one
-   * @param expectedMs the time until its first event
-   * @param readMs the part of that which is reading
-   * @param alone true if the server is not known to have other work
-   * @param costMs the expected time with what the choice costs others
+   * @param keptTokens leading tokens of the prompt that the server has probably cached
+   * @param fetch the planned fetch of prompt parts, or null if the server is not an engine
+   * @param waitMs expected time until the request starts, if the engine has memory for it
+   * @param memoryShare share of the engine's memory that all its requests need, with this one
+   * @param expectedMs expected time to the first event
+   * @param readMs the part of {@code expectedMs} that is prefill
+   * @param alone true if the server has no other work that this VM knows of
+   * @param costMs the expected time plus the cost to other requests
    */
   record Choice(
       Backend backend,
@@ -115,12 +141,12 @@
     }
   }
 
-  /** Returns the cheapest server, or null if there is none. */
+  /** Returns the server with the lowest cost, or null if there are no candidates. */
   static @Nullable Choice choose(List<Backend> candidates, Query query) {
-    Backend home = home(candidates, query.keyHash());
+    Backend affinityServer = home(candidates, query.keyHash());
     Choice best = null;
     for (Backend backend : candidates) {
-      Choice choice = consider(backend, backend == home, query);
+      Choice choice = consider(backend, backend == affinityServer, query);
       if (best == null || choice.costMs < best.costMs) {
         best = choice;
       }
@@ -141,29 +167,29 @@
     return best;
   }
 
-  private static Choice consider(Backend backend, boolean isHome, Query query) {
-    double otherMs = 0;
+  private static Choice consider(Backend backend, boolean hasAffinity, Query query) {
+    double penaltyMs = 0;
     if (!backend.entry().dataCentre().equals(query.dataCentre())) {
-      otherMs += OTHER_DATA_CENTRE_MS;
+      penaltyMs += OTHER_DATA_CENTRE_MS;
     }
     if (backend.refusedLately(query.nowMs())) {
-      otherMs += REFUSED_MS;
+      penaltyMs += REFUSED_MS;
     }
     Prompt prompt = query.prompt();
     EngineInfo info = query.engine();
-    Load others = query.peerLoads().others(backend.startHash());
-    int running = backend.inFlight() + others.running();
+    Load peerLoad = query.peerLoads().others(backend.startHash());
+    int running = backend.inFlight() + peerLoad.running();
     if (prompt == null || info == null) {
       double waitMs = running * MS_PER_PLAIN_REQUEST;
-      return new Choice(backend, 0, null, waitMs, 0, waitMs, 0, running == 0, waitMs + otherMs);
+      return new Choice(backend, 0, null, waitMs, 0, waitMs, 0, running == 0, waitMs + penaltyMs);
     }
     long weights = backend.weights(prompt.model());
-    otherMs += weightsCost(backend, weights, query);
+    penaltyMs += weightsCost(backend, weights, query);
     return considerEngine(
         backend,
-        isHome,
-        others,
-        otherMs,
+        hasAffinity,
+        peerLoad,
+        penaltyMs,
         prompt,
         query.sources().apply(weights),
         Math.max(1, info.cacheTokens()),
@@ -172,34 +198,35 @@
 
   private static Choice considerEngine(
       Backend backend,
-      boolean isHome,
-      Load others,
-      double otherMs,
+      boolean hasAffinity,
+      Load peerLoad,
+      double penaltyMs,
       Prompt prompt,
       PartSources sources,
       int cacheTokens,
       Query query) {
     int kept = backend.kept().leadingTokens(sources.keys(), prompt);
-    double patienceMs = TARGET_SHARE * query.targetLeftMs();
-    Fetch fetch = sources.plan(backend, kept, patienceMs);
-    int missing = prompt.tokens() - kept - fetch.tokens();
-    if (isHome && fetch.tokens() == 0) {
-      missing -= (int) (HOME_KEPT * Math.max(0, sharedTokens(prompt) - kept));
+    double maxFetchMs = TARGET_SHARE * query.targetLeftMs();
+    Fetch fetch = sources.plan(backend, kept, maxFetchMs);
+    int prefillTokens = prompt.tokens() - kept - fetch.tokens();
+    if (hasAffinity && fetch.tokens() == 0) {
+      prefillTokens -= (int) (HOME_KEPT * Math.max(0, sharedTokens(prompt) - kept));
     }
-    int running = backend.inFlight() + others.running();
-    long pending = backend.pendingTokens() + others.pendingTokens();
-    double readMs = missing * backend.msPerToken();
+    int running = backend.inFlight() + peerLoad.running();
+    long pending = backend.pendingTokens() + peerLoad.pendingTokens();
+    double readMs = prefillTokens * backend.msPerToken();
     double waitMs =
         pending * backend.msPerToken()
             + running * MS_PER_RUNNING
             + backend.timing().lagMs(query.nowMs());
-    long held = backend.heldTokens() + others.heldTokens();
-    double memoryShare = held == 0 ? 0 : (double) (held + prompt.memoryTokens()) / cacheTokens;
+    long reservedTokens = backend.heldTokens() + peerLoad.heldTokens();
+    double memoryShare =
+        reservedTokens == 0 ? 0 : (double) (reservedTokens + prompt.memoryTokens()) / cacheTokens;
     double memoryMs = Math.max(0, memoryShare - EngineAdmission.MEMORY_SHARE) * MS_PER_MEMORY;
     double expectedMs = readMs + fetch.ms() + waitMs + memoryMs;
-    double displacedMs = fetch.tokens() * backend.msPerToken() * DISPLACED_SHARE;
+    double evictionMs = fetch.tokens() * backend.msPerToken() * DISPLACED_SHARE;
     double costMs =
-        expectedMs + fetch.linkMs() + displacedMs + otherMs + (isHome ? 0 : NOT_HOME_MS);
+        expectedMs + fetch.linkMs() + evictionMs + penaltyMs + (hasAffinity ? 0 : NOT_HOME_MS);
     boolean alone = running == 0;
     return new Choice(backend, kept, fetch, waitMs, memoryShare, expectedMs, readMs, alone, costMs);
   }
@@ -209,11 +236,11 @@
     if (newest.isEmpty() || weights >= newest.getAsLong()) {
       return 0;
     }
-    double turn = query.rolloutTurn().applyAsDouble(backend.entry().id());
-    if (turn < LOADING_NOW) {
+    double position = query.rolloutTurn().applyAsDouble(backend.entry().id());
+    if (position < LOADING_NOW) {
       return LOADING_MS;
     }
-    return turn < LOADING_NEXT ? LOADING_SOON_MS : OLD_WEIGHTS_MS;
+    return position < LOADING_NEXT ? LOADING_SOON_MS : OLD_WEIGHTS_MS;
   }
 
   private static int sharedTokens(Prompt prompt) {
