--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/EngineTiming.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/EngineTiming.java
@@ -21,8 +21,8 @@
 /**
  * Estimates how quickly an engine answers this VM: the prefill time per token, and the lag, by
  * which its first events come later than expected. The lag has a cause that this VM does not see,
- * such as other requests, a saturated link or a hung engine, so the next request is expected to be
- * late as well. Not thread-safe; used on the event loop.
+ * such as other requests, a saturated link or a silent engine, so the next request is expected to
+ * be late as well. Not thread-safe; used on the event loop.
  */
 final class EngineTiming {
   /** Prefill time per token assumed before the first sample: that of a fast current engine. */
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/PartRelay.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/PartRelay.java
@@ -80,15 +80,15 @@
   /**
    * Creates a relay.
    *
-   * @param wantList requests the full list of the store at an address; the answer is passed to
+   * @param requestList requests the full list of the store at an address; the answer is passed to
    *     {@link #listed}
    */
   public PartRelay(
-      EventLoop loop, PartStores parts, ServersClock clock, Consumer<String> wantList) {
+      EventLoop loop, PartStores parts, ServersClock clock, Consumer<String> requestList) {
     this.loop = loop;
     this.parts = parts;
     this.clock = clock;
-    this.wantList = wantList;
+    this.wantList = requestList;
   }
 
   /**
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/PartStores.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/PartStores.java
@@ -68,10 +68,10 @@
   /** Applies the stores of a configuration; returns those that are new or changed. */
   public List<StoreInfo> configure(Collection<StoreInfo> stores) {
     List<StoreInfo> added = new ArrayList<>();
-    Map<String, PartStore> before = new HashMap<>(byAddress);
+    Map<String, PartStore> previous = new HashMap<>(byAddress);
     byAddress.clear();
     for (StoreInfo info : stores) {
-      PartStore known = before.get(info.address());
+      PartStore known = previous.get(info.address());
       if (known == null || !known.info().equals(info)) {
         known = new PartStore(info);
         added.add(info);
@@ -105,9 +105,9 @@
   }
 
   /**
-   * Corrects the times of the last answers of all stores: they were {@code ms} earlier
-   * than assumed. Without this, an answer that waited in the socket while this VM was suspended, and was the
-   * first to report the servers' time, was treated as new and used for 0.9 s.
+   * Corrects the times of the last answers of all stores: they were {@code ms} earlier than
+   * assumed. Without this, an answer that waited in the socket while this VM was suspended, and was
+   * the first to report the servers' time, was treated as new and used for 0.9 s.
    */
   void toldEarlier(long ms) {
     byAddress.values().forEach(store -> store.confirmedEarlier(ms));
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/EngineAdmissionTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/EngineAdmissionTest.java
@@ -22,10 +22,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Tests the decisions and retry times of {@link EngineAdmission}. */
 public final class EngineAdmissionTest {
   private static final long TARGET_MS = 1_000;
 
-  /** Wait at the engine, share of its memory, age, time left, wait here, verdict. */
+  /** Wait at the engine, share of its memory, age, time left, expected wait in queue, verdict. */
   @DataProvider
   public Object[][] cases() {
     return new Object[][] {
@@ -45,9 +46,9 @@
 
   @Test(dataProvider = "cases")
   public void aRequestIsSentWaitsOrIsRefused(
-      int waitMs, double memory, int ageMs, int leftMs, int expectedWaitMs, Verdict verdict) {
+      int waitMs, double memoryShare, int ageMs, int leftMs, int expectedWaitMs, Verdict verdict) {
     Choice choice =
-        new Choice(PartPlans.engine("e"), 0, null, waitMs, memory, waitMs + 100, 100, true, 0);
+        new Choice(PartPlans.engine("e"), 0, null, waitMs, memoryShare, waitMs + 100, 100, true, 0);
     assertEquals(EngineAdmission.decide(choice, ageMs, TARGET_MS, leftMs, expectedWaitMs), verdict);
   }
 
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/EngineTimingTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/EngineTimingTest.java
@@ -20,6 +20,7 @@
 
 import org.testng.annotations.Test;
 
+/** Tests the prefill time and the lag that {@link EngineTiming} learns from answers. */
 public final class EngineTimingTest {
   private static void answer(EngineTiming timing, long atMs, double expectedMs, long tookMs) {
     Object request = new Object();
@@ -29,14 +30,14 @@
 
   @Test
   public void thePriorIsLeftBehindByAnEnginesOwnAnswers() {
-    EngineTiming quick = new EngineTiming();
-    EngineTiming slow = new EngineTiming();
+    EngineTiming fastEngine = new EngineTiming();
+    EngineTiming slowEngine = new EngineTiming();
     for (int i = 0; i < 40; i++) {
-      answer(quick, i * 100L, 30, 20);
-      answer(slow, i * 100L, 30, 60);
+      answer(fastEngine, i * 100L, 30, 20);
+      answer(slowEngine, i * 100L, 30, 60);
     }
-    assertEquals(quick.msPerToken(), 0.01, 0.001);
-    assertEquals(slow.msPerToken(), 0.05, 0.005);
+    assertEquals(fastEngine.msPerToken(), 0.01, 0.001);
+    assertEquals(slowEngine.msPerToken(), 0.05, 0.005);
   }
 
   @Test
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/EngineWaitTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/EngineWaitTest.java
@@ -28,7 +28,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Requests that wait for engines, by what other VMs tell of them, and starts that are gone. */
+/**
+ * Requests that wait for engines whose memory other VMs report as in use, and requests for replaced
+ * incarnations of a server.
+ */
 public final class EngineWaitTest {
   private ServingWorld world = new ServingWorld();
 
@@ -45,7 +48,7 @@
     return new Load(Hashes.placement(server), 0, 1, 0, tokens);
   }
 
-  /** Another VM tells of its requests at both engines, which have memory for 10,000 tokens. */
+  /** Reports another VM's memory use, in tokens, at both engines; each has room for 10,000. */
   private void othersNeed(long sequence, long atFirst, long atSecond) {
     world.peerLoads.heard(
         new LoadNews(
@@ -60,11 +63,11 @@
   @Test
   public void aStartThatWasReplacedGetsNothingMore() {
     world.serve("/once/x");
-    String dead = lastServer();
+    String replacedServer = lastServer();
     world.transport.last().listener.notRun(NotRunReason.OTHER_SERVER, "answered 421");
     for (int i = 0; i < 6; i++) {
       world.serve("/once/x");
-      assertTrue(!lastServer().equals(dead), "sent to a dead start");
+      assertTrue(!lastServer().equals(replacedServer), "sent to a replaced incarnation");
     }
   }
 
@@ -95,7 +98,9 @@
     assertEquals(world.transport.sends.size(), 0);
   }
 
-  /** Of two that wait, the one that can still be in time goes first, though it came later. */
+  /**
+   * A queued request that can still meet its target is sent before a late one that came earlier.
+   */
   @Test
   public void lateOnesWaitBehindThoseInTime() {
     othersNeed(1, 11_000, 11_000);
@@ -105,8 +110,8 @@
       othersNeed(i, 11_000, 11_000);
     }
     world.loop.advance(20);
-    CallerRequest young = world.request("/once/y", ServingWorld.KEY);
-    world.serving.serve(young, new RecordingSink());
+    CallerRequest timely = world.request("/once/y", ServingWorld.KEY);
+    world.serving.serve(timely, new RecordingSink());
     othersNeed(16, 11_000, 0);
     world.loop.advance(50);
     assertEquals(world.transport.sends.get(0).call.request().target(), "/once/y");
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/KeptPartsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/KeptPartsTest.java
@@ -20,6 +20,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
+/** Tests the estimate of an engine's prefix cache, {@link KeptParts}. */
 public final class KeptPartsTest {
   private static final Prompt PROMPT =
       new Prompt("m", 10, List.of(new Prompt.Part("a", 500), new Prompt.Part("own", 100)));
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/PartPlans.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/PartPlans.java
@@ -20,7 +20,7 @@
 import org.landingtrack.internal.loads.PeerLoads;
 import org.landingtrack.internal.serving.ServiceInfo.EngineInfo;
 
-/** Moves of prompts for an engine that keeps nothing, as requests plan them. */
+/** Plans KV transfers for an engine with an empty prefix cache, as requests plan them. */
 final class PartPlans {
   private static final EngineInfo INFO = new EngineInfo(8, 10_000, 18_432, 100_000);
 
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/PartRelayTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/PartRelayTest.java
@@ -30,7 +30,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** News of a store of parts that one VM asks and others hear of. */
+/** Updates of a KV store that one VM polls and forwards to others. */
 public final class PartRelayTest {
   private static final String ADDRESS = "10.0.0.9:80";
   private static final StoreInfo STORE =
@@ -38,7 +38,7 @@
   private static final Prompt PROMPT =
       new Prompt("m", 10, List.of(new Prompt.Part("a", 500), new Prompt.Part("own", 100)));
 
-  /** The servers' clock less that of the loop. */
+  /** Offset of the servers' clock from that of the event loop. */
   private static final long AHEAD_MS = 5_000;
 
   private ManualLoop loop = new ManualLoop();
@@ -113,10 +113,10 @@
     assertEquals(hub.relay.news(Kind.GROUP).size(), 1);
     assertTrue(hub.relay.news(Kind.OWN).isEmpty());
     hub.relay.nextRound();
-    assertTrue(hub.relay.news(Kind.ALL).isEmpty(), "told again without anything new");
+    assertTrue(hub.relay.news(Kind.ALL).isEmpty(), "reported again without a change");
   }
 
-  /** A lost message is made up for by the next; after a longer gap the store is asked for all. */
+  /** The next message repeats lost changes; after a longer gap the full list is requested. */
   @Test
   public void changesAreRepeatedForAWhile() {
     hub.relay.answered(answer(1, 0, 0));
@@ -136,7 +136,8 @@
     assertEquals(other.wantedLists, List.of(ADDRESS));
     hub.relay.answered(answer(1, 4, 6, kept("v1/e")));
     round();
-    assertEquals(other.wantedLists, List.of(ADDRESS), "asked again at once");
+    assertEquals(
+        other.wantedLists, List.of(ADDRESS), "list requested twice within the minimum interval");
   }
 
   @Test
@@ -150,34 +151,35 @@
 
   @Test
   public void newsOfAnEarlierStartSayNothing() {
-    StoreNews late = answer(1, 0, 1, kept("v1/a"));
+    StoreNews delayed = answer(1, 0, 1, kept("v1/a"));
     loop.advance(500);
     other.relay.heard(answer(2, 0, 0));
-    other.relay.heard(late);
+    other.relay.heard(delayed);
     assertFalse(other.fetches());
   }
 
   /**
-   * A VM that had just started stood still for ten seconds; meanwhile a store answered it, crashed
-   * and was written anew. The answer that had waited in the socket was the first that told the
-   * servers' time, so it seemed to be of now. The next one, of another store, corrected the clock,
-   * but the first store stayed believed as of now: a fetch that was ordered in that moment could
-   * meet a part that the store's new start was being written.
+   * Guards against using an old answer as a new one. A VM that has just started is suspended for
+   * ten seconds; meanwhile a store answers it, crashes and is written to again. The answer that
+   * waited in the socket is the first to report the servers' time, so it seems current. The next
+   * answer, of another store, corrects the clock. If the first store's state stays valid
+   * nevertheless, a fetch ordered at that moment can read a part while it is being written in the
+   * restarted store.
    */
   @Test
   public void anAnswerThatWasReadLateIsNotBelievedOnceTheClockIsKnownBetter() {
-    StoreNews late = answer(1, 0, 1, kept("v1/a"));
+    StoreNews delayed = answer(1, 0, 1, kept("v1/a"));
     loop.advance(10_000);
-    other.relay.heard(late);
-    StoreNews ofNow = new StoreNews("10.0.0.8:80", 1, loop.millis() + AHEAD_MS, 0, 0, List.of());
-    other.relay.heard(ofNow);
+    other.relay.heard(delayed);
+    StoreNews current = new StoreNews("10.0.0.8:80", 1, loop.millis() + AHEAD_MS, 0, 0, List.of());
+    other.relay.heard(current);
     assertFalse(other.fetches());
     loop.advance(100);
     other.relay.heard(answer(1, 1, 1));
     assertTrue(other.fetches(), "the store has just confirmed what it keeps");
   }
 
-  /** A list shows what a store never told; the VMs that rely on this one hear of it, too. */
+  /** Parts that only a full list shows are forwarded to the VMs that rely on this one. */
   @Test
   public void whatAListShowsIsHandedOn() {
     hub.relay.answered(answer(1, 0, 1));
@@ -190,8 +192,8 @@
   }
 
   /**
-   * Messages are lost, some links are full for a while, the store starts anew: no fetch that may
-   * still run meets a part that is being written.
+   * Messages are lost, some links are saturated for a while, and the store restarts: no write of a
+   * part begins while a fetch of it may still run.
    */
   @Test
   public void noFetchMeetsAPartThatIsBeingWritten() {
@@ -201,10 +203,10 @@
       world.run();
       fetches += world.fetches;
     }
-    assertTrue(fetches > 5_000, "the world is too bad to show anything: " + fetches);
+    assertTrue(fetches > 5_000, "too few fetches for a meaningful result: " + fetches);
   }
 
-  /** A store, a VM that asks it, and others that hear of it. */
+  /** A simulation of a store, a VM that polls it, and others that receive its updates. */
   private static final class World {
     private static final int VMS = 4;
     private static final int STEP_MS = 20;
@@ -225,7 +227,7 @@
     private long downUntilMs;
     private long pollAtMs;
 
-    /** Until when a VM's link is full: what is sent to it comes three seconds late. */
+    /** Time until which a VM's link is saturated: messages to it are delayed by three seconds. */
     private final long[] slowUntilMs = new long[VMS];
 
     private int fetches;
@@ -306,11 +308,11 @@
         long untilMs = vm.clock.at(moves.untilMs()).orElseThrow() - AHEAD_MS;
         fetchesUntilMs = Math.max(fetchesUntilMs, untilMs);
       }
-      boolean up = loop.millis() >= downUntilMs;
-      if (up && moves.saves() && !whole && wholeAtMs == Long.MAX_VALUE) {
+      boolean isUp = loop.millis() >= downUntilMs;
+      if (isUp && moves.saves() && !whole && wholeAtMs == Long.MAX_VALUE) {
         assertTrue(
             loop.millis() >= fetchesUntilMs,
-            "a write began " + (fetchesUntilMs - loop.millis()) + " ms before a fetch ended");
+            "a write began " + (fetchesUntilMs - loop.millis()) + " ms before a fetch may end");
         wholeAtMs = loop.millis() + 200;
       }
     }
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/PartSourcesTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/PartSourcesTest.java
@@ -27,6 +27,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/** Tests which fetches and saves {@link PartSources} plans. */
 public final class PartSourcesTest {
   private static final String SLOW = "10.0.0.8:80";
   private static final Prompt PROMPT =
@@ -58,13 +59,13 @@
   @Test
   public void aFetchThatTakesTooLongIsLeft() {
     storeHasThePart();
-    assertEquals(plan(0).tokens(), 0, "reading takes 10 ms");
+    assertEquals(plan(0).tokens(), 0, "prefill takes 10 ms");
     assertEquals(plan(100).tokens(), 500);
     for (int i = 0; i < 3; i++) {
       PartSources sources = PartPlans.sources(stores, loop, "v1", PROMPT);
       sources.moves(new Object(), target, sources.plan(target, 0, 400), 0);
     }
-    assertEquals(plan(100).tokens(), 0, "others are before it");
+    assertEquals(plan(100).tokens(), 0, "the link is busy with other fetches");
   }
 
   @Test
@@ -79,7 +80,7 @@
     assertEquals(stores.backlogMs(store), 0.0);
   }
 
-  /** Also while the store that has the part is not believed, no second store takes it. */
+  /** No second store saves a part, even while the state of the store that has it has expired. */
   @Test
   public void aPartIsSavedToOneStoreOnly() {
     stores.configure(
@@ -91,10 +92,13 @@
     stores.changed(SLOW, 1, loop.millis(), Map.of(), List.of());
     stores.changed("10.0.0.7:80", 1, loop.millis(), Map.of(), List.of());
     assertTrue(PartPlans.moves(stores, loop, "v1", PROMPT).saves());
-    assertFalse(PartPlans.moves(stores, loop, "v1", PROMPT).saves(), "under way");
+    assertFalse(
+        PartPlans.moves(stores, loop, "v1", PROMPT).saves(), "the part is already being saved");
     stores.changed(SLOW, 1, loop.millis(), Map.of("v1/a", 500), List.of());
     loop.advance(PartStore.BELIEF_MS * 4);
     stores.changed("10.0.0.7:80", 1, loop.millis(), Map.of(), List.of());
-    assertFalse(PartPlans.moves(stores, loop, "v1", PROMPT).saves(), "kept where not believed");
+    assertFalse(
+        PartPlans.moves(stores, loop, "v1", PROMPT).saves(),
+        "a store whose state has expired has the part");
   }
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/PartStoresTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/PartStoresTest.java
@@ -26,6 +26,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/** Tests what {@link PartStores} saves and fetches, also while a store restarts. */
 public final class PartStoresTest {
   private static final String ADDRESS = "10.0.0.9:80";
   private static final StoreInfo STORE =
@@ -59,7 +60,7 @@
     PartMoves first = plan("v1");
     assertEquals(first.save(), List.of(ADDRESS, ""));
     assertFalse(first.fetches());
-    assertFalse(plan("v1").saves(), "ordered twice");
+    assertFalse(plan("v1").saves(), "save ordered twice");
     stores.changed(ADDRESS, 1, loop.millis(), Map.of("v1/a", 500), List.of());
     PartMoves next = plan("v1");
     assertEquals(next.fetch(), List.of(ADDRESS, ""));
@@ -92,7 +93,7 @@
     stores.changed(ADDRESS, 2, loop.millis(), Map.of(), List.of());
     assertFalse(plan("v1").fetches());
     for (long ms = 0; ms < PartStore.BELIEF_MS; ms += 100) {
-      assertFalse(plan("v1").saves(), "saved after " + ms);
+      assertFalse(plan("v1").saves(), "saved too early, ms after the restart: " + ms);
       loop.advance(100);
       stores.changed(ADDRESS, 2, loop.millis(), Map.of(), List.of());
     }
@@ -109,8 +110,8 @@
   }
 
   /**
-   * Several VMs, a store that starts anew at any time and tells of it late: no fetch that may still
-   * run meets a part that is being written.
+   * Several VMs use a store that restarts at any time and is polled with delays: no write of a part
+   * begins while a fetch of it may still run.
    */
   @Test
   public void noFetchMeetsAPartThatIsBeingWritten() {
@@ -119,13 +120,13 @@
     }
   }
 
-  /** A store with several VMs before it; answers take up to 100 ms. */
+  /** A simulation of a store and several VMs; answers take up to 100 ms. */
   private static final class World {
     private static final int VMS = 4;
     private static final int STEP_MS = 20;
     private static final int STEPS = 600;
 
-    /** The shortest time that a store takes to start anew. */
+    /** Minimum time of a restart of the store. */
     private static final int RESTART_MS = 1_000;
 
     private final Random random;
@@ -171,11 +172,12 @@
       if (loop.millis() < pollAtMs[i] || loop.millis() < downUntilMs) {
         return;
       }
-      boolean cut = random.nextInt(10) == 0;
-      pollAtMs[i] = loop.millis() + (cut ? 2_000 : 100 + random.nextInt(300));
-      long told = epoch;
+      boolean isDisconnected = random.nextInt(10) == 0;
+      pollAtMs[i] = loop.millis() + (isDisconnected ? 2_000 : 100 + random.nextInt(300));
+      long answeredEpoch = epoch;
       Map<String, Integer> parts = whole ? Map.of("v1/a", 500) : Map.of();
-      loop.schedule(random.nextInt(100), () -> vms[i].listed(ADDRESS, told, loop.millis(), parts));
+      loop.schedule(
+          random.nextInt(100), () -> vms[i].listed(ADDRESS, answeredEpoch, loop.millis(), parts));
     }
 
     private void request(int i) {
@@ -183,11 +185,11 @@
       if (moves.fetches()) {
         fetchesUntilMs = Math.max(fetchesUntilMs, moves.untilMs());
       }
-      boolean up = loop.millis() >= downUntilMs;
-      if (up && moves.saves() && !whole && wholeAtMs == Long.MAX_VALUE) {
+      boolean isUp = loop.millis() >= downUntilMs;
+      if (isUp && moves.saves() && !whole && wholeAtMs == Long.MAX_VALUE) {
         assertTrue(
             loop.millis() >= fetchesUntilMs,
-            "a write began " + (fetchesUntilMs - loop.millis()) + " ms before a fetch ended");
+            "a write began " + (fetchesUntilMs - loop.millis()) + " ms before a fetch may end");
         wholeAtMs = loop.millis() + 200;
       }
     }
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ReferenceChooser.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ReferenceChooser.java
@@ -25,8 +25,9 @@
 import org.landingtrack.internal.serving.ServiceInfo.EngineInfo;
 
 /**
- * Chooses an engine in the plainest way: looks everything up for each engine, each store and each
- * part. What {@link ServerChooser} and {@link PartSources} work out once must come to the same.
+ * A straightforward reference implementation of engine selection: it looks everything up anew for
+ * each engine, store and part. {@link ServerChooser} and {@link PartSources}, which compute shared
+ * values once, must give the same results.
  */
 final class ReferenceChooser {
   private final PartStores stores;
@@ -40,7 +41,7 @@
   private final Predicate<PartStore> allowed;
   private final long now;
 
-  /** What a choice comes to. */
+  /** The result of a selection. */
   record Result(
       Backend backend,
       int kept,
@@ -75,46 +76,48 @@
   }
 
   Result choose(List<Backend> candidates) {
-    Backend home = candidates.get(0);
+    Backend affinityServer = candidates.get(0);
     for (Backend each : candidates) {
-      if (Hashes.weight(keyHash, each.idHash()) > Hashes.weight(keyHash, home.idHash())) {
-        home = each;
+      if (Hashes.weight(keyHash, each.idHash()) > Hashes.weight(keyHash, affinityServer.idHash())) {
+        affinityServer = each;
       }
     }
     Result best = null;
     for (Backend each : candidates) {
-      Result result = consider(each, each == home);
+      Result result = consider(each, each == affinityServer);
       best = best == null || result.costMs < best.costMs ? result : best;
     }
     return best;
   }
 
-  private Result consider(Backend engine, boolean isHome) {
-    double otherMs = engine.entry().dataCentre().equals(dataCentre) ? 0 : 12;
-    otherMs += engine.refusedLately(now) ? 400 : 0;
+  private Result consider(Backend engine, boolean hasAffinity) {
+    double penaltyMs = engine.entry().dataCentre().equals(dataCentre) ? 0 : 12;
+    penaltyMs += engine.refusedLately(now) ? 400 : 0;
     long weights = engine.weights(prompt.model());
-    otherMs += newest.isEmpty() || weights >= newest.getAsLong() ? 0 : 40;
+    penaltyMs += newest.isEmpty() || weights >= newest.getAsLong() ? 0 : 40;
     String scope = "v" + weights;
     int kept = engine.kept().leadingTokens(scope, prompt);
     Fetched fetch = fetch(engine, scope, kept);
-    int missing = prompt.tokens() - kept - fetch.tokens;
+    int prefillTokens = prompt.tokens() - kept - fetch.tokens;
     List<Prompt.Part> parts = prompt.parts();
     int shared = prompt.tokens() - parts.get(parts.size() - 1).tokens();
-    if (isHome && fetch.tokens == 0) {
-      missing -= (int) (0.5 * Math.max(0, shared - kept));
+    if (hasAffinity && fetch.tokens == 0) {
+      prefillTokens -= (int) (0.5 * Math.max(0, shared - kept));
     }
     long hash = engine.startHash();
     double waitMs =
         (engine.pendingTokens() + peerLoads.pendingTokens(hash)) * engine.msPerToken()
             + (engine.inFlight() + peerLoads.running(hash)) * 1.0
             + engine.timing().lagMs(now);
-    long held = engine.heldTokens() + peerLoads.heldTokens(hash);
+    long reservedTokens = engine.heldTokens() + peerLoads.heldTokens(hash);
     double share =
-        held == 0 ? 0 : (double) (held + prompt.memoryTokens()) / Math.max(1, info.cacheTokens());
+        reservedTokens == 0
+            ? 0
+            : (double) (reservedTokens + prompt.memoryTokens()) / Math.max(1, info.cacheTokens());
     double memoryMs = Math.max(0, share - EngineAdmission.MEMORY_SHARE) * 1_000;
-    double expectedMs = missing * engine.msPerToken() + fetch.ms + waitMs + memoryMs;
-    double displacedMs = fetch.tokens * engine.msPerToken() * 0.4;
-    double costMs = expectedMs + fetch.linkMs + displacedMs + otherMs + (isHome ? 0 : 10);
+    double expectedMs = prefillTokens * engine.msPerToken() + fetch.ms + waitMs + memoryMs;
+    double evictionMs = fetch.tokens * engine.msPerToken() * 0.4;
+    double costMs = expectedMs + fetch.linkMs + evictionMs + penaltyMs + (hasAffinity ? 0 : 10);
     return new Result(engine, kept, fetch.sources, fetch.tokens, expectedMs, costMs);
   }
 
@@ -124,22 +127,22 @@
     double waitMs = 0;
     double linkMs = 0;
     int end = 0;
-    boolean unbroken = true;
+    boolean isContiguous = true;
     for (int i = 0; i < prompt.parts().size() - 1; i++) {
       Prompt.Part part = prompt.parts().get(i);
       end += part.tokens();
       PartStore source = best(engine, scope, part);
       double ms = source == null ? 0 : fetchMs(source, engine, part.tokens());
-      double patienceMs = Math.max(part.tokens() * engine.msPerToken() * 1.5, 0.4 * targetLeftMs);
+      double maxFetchMs = Math.max(part.tokens() * engine.msPerToken() * 1.5, 0.4 * targetLeftMs);
       if (source != null
-          && (ms > patienceMs || ms > (double) (source.fetchUntilMs() - now) * 0.7)) {
+          && (ms > maxFetchMs || ms > (double) (source.fetchUntilMs() - now) * 0.7)) {
         source = null;
       }
       sources.add(source);
-      int lacking = Math.max(0, Math.min(part.tokens(), end - kept));
-      unbroken &= lacking == 0 || source != null;
-      if (lacking > 0 && unbroken) {
-        tokens += lacking;
+      int missingTokens = Math.max(0, Math.min(part.tokens(), end - kept));
+      isContiguous &= missingTokens == 0 || source != null;
+      if (missingTokens > 0 && isContiguous) {
+        tokens += missingTokens;
         double partLinkMs = source.linkMs(part.tokens(), info, engine.entry().dataCentre());
         waitMs = Math.max(waitMs, ms - partLinkMs);
         linkMs += partLinkMs;
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ReplacedWeightsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ReplacedWeightsTest.java
@@ -30,17 +30,18 @@
 import org.testng.annotations.Test;
 
 /**
- * Callers got answers made on weights that had been replaced more than ten seconds before.
+ * Guards against answers made with weights that were replaced more than ten seconds earlier.
  *
- * <p>Order of events: new weights are named; orders to load them get lost, so some engines keep the
- * old ones for more than ten seconds; these engines are slow, and many callers come at once. Until
- * 8 s after the naming a VM may still use them, and sends a request at 7.9 s. The engine is full:
- * the request waits in its queue for 2.3 s and begins there, 10.15 s after the naming.
+ * <p>The failure: new weights are announced, but orders to load them are lost, so some engines keep
+ * the old ones for more than ten seconds. These engines are slow and under high load. A VM may use
+ * them until 8 s after the announcement and sends a request at 7.9 s. The engine is full, so the
+ * request waits in its queue for 2.3 s and starts 10.15 s after the announcement.
  *
- * <p>Cause: the bound was checked when the request was sent, and it is promised for when it begins;
- * nothing told the engine of it. Evidence: all VMs had heard of the naming within 35 ms; the
- * request reached the engine 8 ms after it had come; the engine began it 2.29 s later. Three of
- * three plays of such a day with another seed each sent requests in time that began late in two.
+ * <p>Cause: the ten-second bound applies to the start of the request, but was checked only when it
+ * was sent, and the engine did not know of it. All VMs had received the announcement within 35 ms,
+ * and the request reached the engine 8 ms after its arrival; the engine started it 2.29 s later. In
+ * each of three simulated days with different seeds, requests were sent in time; in two of them
+ * some started late.
  */
 public final class ReplacedWeightsTest {
   private static final long NAMED_TO_BEGIN_MS = 10_000;
@@ -108,7 +109,7 @@
     return world.transport.last().call;
   }
 
-  /** Returns true if a server that gets round to a request only now would still begin it. */
+  /** Returns true if a server that takes a request from its queue only now would still start it. */
   private boolean mayBegin(FakeTransport.Sent sent, long sentMs) {
     return !sent.cancelled && world.loop.millis() - sentMs < sent.call.leftMs();
   }
@@ -126,7 +127,9 @@
     }
   }
 
-  /** Each newer version has its own bound: the first that replaced an engine's weights counts. */
+  /**
+   * Each newer version has its own bound; that of the first one newer than the engine's applies.
+   */
   @Test
   public void theFirstNewerVersionBounds() {
     world.nameWeights(2);
@@ -141,8 +144,9 @@
   }
 
   /**
-   * Streams that had begun in time were cut when the bound came, as an engine stops at the end of
-   * the time that it is given: 122 in a day of slow engines.
+   * Guards against ending streams that started in time at the bound: an engine stops a request at
+   * the end of the time that it is given. This cut 122 streams in one simulated day of slow
+   * engines.
    */
   @Test
   public void whatBeganInTimeGoesOn() {
@@ -156,7 +160,10 @@
     assertEquals(world.transport.sends.size(), 1);
   }
 
-  /** What may be sent again goes to the new weights; it may have begun just then. */
+  /**
+   * The engine may have started the request at the bound, so only a request that may be repeated is
+   * sent again, to the new weights.
+   */
   @Test
   public void whatDidNotBeginInTimeGoesToTheNewWeightsIfItMayBeSentAgain() {
     sendAtLast("/resumed/x");
@@ -176,8 +183,9 @@
   }
 
   /**
-   * No engine had loaded the new weights when the bound came. Each request asked one for them, was
-   * refused, and took that engine to have them from then on, also when others had loaded.
+   * Guards against treating a refusal as proof of the new weights. No engine has loaded them at the
+   * bound, so each request asks an engine for the new version and is refused. From then on that
+   * engine was taken to have them, even after others had loaded them.
    */
   @Test
   public void anEngineThatLacksTheNewWeightsIsNotTakenToHaveThem() {
@@ -203,7 +211,7 @@
     }
   }
 
-  /** An engine is not passed over for having had replaced weights. */
+  /** An engine is not ejected because it had replaced weights. */
   @Test
   public void anEngineThatWasLeftIsNotEjected() {
     world.book.remove("e2", 3);
@@ -215,8 +223,8 @@
     world.book.put(ServingWorld.engine("e1", 2), 4);
     world.loop.advance(NAMED_TO_BEGIN_MS - LAST_SEND_MS);
     world.book.put(ServingWorld.engine("e2", 2), 5);
-    Backend left = world.book.find("e1");
-    assertFalse(left == null || left.isEjected(world.loop.millis()));
+    Backend abandoned = world.book.find("e1");
+    assertFalse(abandoned == null || abandoned.isEjected(world.loop.millis()));
   }
 
   @Test
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerChooserSeedsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerChooserSeedsTest.java
@@ -33,14 +33,17 @@
 import org.landingtrack.internal.serving.ServiceInfo.EngineInfo;
 import org.testng.annotations.Test;
 
-/** Choices in drawn worlds are those of the plainest way, to the last bit of their costs. */
+/**
+ * Compares selections in random scenarios with {@link ReferenceChooser}; the costs must be equal to
+ * the last bit.
+ */
 public final class ServerChooserSeedsTest {
   private static final int WORLDS = 400;
   private static final int CHOICES = 5;
   private static final String MODEL = "m";
   private static final EngineInfo INFO = new EngineInfo(16, 20_000, 18_432, 40_000);
 
-  /** One VM's view of drawn engines, stores and loads. */
+  /** One VM's view of random engines, stores and loads. */
   private static final class World {
     private final Random random;
     private final ManualLoop loop = new ManualLoop();
@@ -65,8 +68,8 @@
                 random.nextInt(7)));
       }
       stores.configure(infos);
-      boolean onlyNear = random.nextInt(4) == 0;
-      allowed = store -> !onlyNear || store.info().dataCentre().equals("dc-0");
+      boolean onlySameDataCentre = random.nextInt(4) == 0;
+      allowed = store -> !onlySameDataCentre || store.info().dataCentre().equals("dc-0");
       infos.forEach(this::fill);
       int size = 1 + random.nextInt(12);
       for (int i = 0; i < size; i++) {
@@ -194,6 +197,6 @@
       }
       fetched += world.fetched;
     }
-    assertTrue(fetched > 0, "some choices fetch parts");
+    assertTrue(fetched > 0, "no selection fetched any parts");
   }
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/SharedEngines.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/SharedEngines.java
@@ -30,8 +30,8 @@
 import org.landingtrack.internal.loads.PeerLoads;
 
 /**
- * Some VMs before two engines with memory for 16 requests each, on one clock, with callers at all
- * VMs who come back once. Seeded.
+ * Simulates several VMs in front of two engines with memory for 16 requests each, on one clock.
+ * Callers send requests to random VMs and retry once after a refusal. Deterministic for a seed.
  */
 final class SharedEngines {
   static final long TARGET_MS = 300;
@@ -42,7 +42,7 @@
   private static final long WORK_MS = 200;
   private static final int AT_ONCE = 16;
 
-  /** What both engines can do with the share of their memory that requests get. */
+  /** Requests per second of both engines with the share of their memory that requests get. */
   private static final double PER_SECOND = 2 * AT_ONCE * 0.75 * 1_000 / WORK_MS;
 
   private static final long WARM_UP_MS = 6_000;
@@ -50,7 +50,7 @@
   final ManualLoop loop = new ManualLoop();
   final List<Call> calls = new ArrayList<>();
 
-  /** The part of the news between VMs that is lost. */
+  /** Share of the load updates between VMs that is lost. */
   double newsLost = 0.02;
 
   private final Random random;
@@ -58,7 +58,7 @@
   private final Map<String, Engine> engines = new HashMap<>();
   private long ids;
 
-  /** A caller's request with its tries. */
+  /** A caller's request with its attempts. */
   final class Call {
     final long firstMs = loop.millis();
     long triedMs = firstMs;
@@ -72,7 +72,7 @@
       return sink.seen.toString().endsWith("end");
     }
 
-    /** Returns true if the answer began within the target from the latest try. */
+    /** Returns true if the answer began within the target latency after the latest attempt. */
     boolean isInTime() {
       return isServed() && startedMs - triedMs <= TARGET_MS;
     }
@@ -81,13 +81,15 @@
       return !sink.seen.toString().startsWith("refused") || refusedAfterMs() > TARGET_MS / 4;
     }
 
-    /** Returns how long after the latest try the caller was refused. */
+    /** Returns the time in milliseconds from the latest attempt until the caller was refused. */
     long refusedAfterMs() {
       return sink.refusedAtMs - triedMs;
     }
   }
 
-  /** Runs so many requests at once; others wait there in turn. */
+  /**
+   * An engine that runs {@link SharedEngines#AT_ONCE} requests at once and queues others in order.
+   */
   private static final class Engine {
     private final Deque<Runnable> waiting = new ArrayDeque<>();
     private int running;
@@ -116,13 +118,13 @@
     private int seen;
     private boolean isCut;
 
-    Vm(int number, Set<Mechanism> without) {
+    Vm(int number, Set<Mechanism> disabled) {
       String address = "10.0.1." + (number + 1) + ":70";
-      world = new ServingWorld(loop, new SilentDecisionLog(), address, random.nextLong(), without);
+      world = new ServingWorld(loop, new SilentDecisionLog(), address, random.nextLong(), disabled);
       news = new NewsOfVm(world.peerLoads);
     }
 
-    /** What it has sent since the last look is on its way. */
+    /** Delivers what the VM has sent since the last call. */
     void deliver() {
       List<FakeTransport.Sent> sends = world.transport.sends;
       while (seen < sends.size()) {
@@ -150,12 +152,12 @@
     }
   }
 
-  SharedEngines(int vmCount, Set<Mechanism> without, long seed) {
+  SharedEngines(int vmCount, Set<Mechanism> disabled, long seed) {
     this.random = new Random(seed);
     engines.put("e1", new Engine());
     engines.put("e2", new Engine());
     for (int i = 0; i < vmCount; i++) {
-      vms.add(new Vm(i, without));
+      vms.add(new Vm(i, disabled));
     }
     List<String> addresses = vms.stream().map(vm -> vm.world.peerLoads.address()).toList();
     vms.forEach(vm -> vm.world.peerLoads.introduce(addresses));
@@ -163,23 +165,28 @@
     loop.advance(WARM_UP_MS);
   }
 
-  /** The last VM hears nothing of the others and they nothing of it. */
+  /** Isolates the last VM from the load updates of the others, in both directions. */
   void cutOne() {
     vms.get(vms.size() - 1).isCut = true;
   }
 
-  /** The second engine is gone, as all VMs read. */
+  /** Removes the second engine from the server list of all VMs. */
   void loseAnEngine() {
     vms.forEach(vm -> vm.world.book.replaceAll(List.of(ServingWorld.engine("e1", 1)), 2));
   }
 
-  /** Plays on with so many times what engines can do. */
+  /**
+   * Runs the simulation.
+   *
+   * @param forMs duration in milliseconds
+   * @param load rate of requests as a multiple of the engines' capacity
+   */
   void play(long forMs, double load) {
     callLater(loop.millis() + forMs, load * PER_SECOND);
     loop.advance(forMs);
   }
 
-  /** Lets all callers have their answers. */
+  /** Runs until all callers have their answers. */
   void finish() {
     loop.advance(CALLER_MS);
   }
@@ -237,60 +244,60 @@
   }
 
   private CallerRequest request(Vm vm, long leftMs) {
-    CallerRequest like = vm.world.request("/chat/x", ServingWorld.KEY, leftMs);
+    CallerRequest template = vm.world.request("/chat/x", ServingWorld.KEY, leftMs);
     return new CallerRequest(
         "id-" + ids++,
-        like.method(),
-        like.host(),
-        like.target(),
-        like.headers(),
-        like.body(),
-        like.deadlineMs(),
-        like.key(),
-        like.prompt(),
-        like.resumeAfter(),
-        like.receivedAtMs());
+        template.method(),
+        template.host(),
+        template.target(),
+        template.headers(),
+        template.body(),
+        template.deadlineMs(),
+        template.key(),
+        template.prompt(),
+        template.resumeAfter(),
+        template.receivedAtMs());
   }
 
   private void exchangeNews() {
     loop.schedule(PeerLoads.ROUND_MS, this::exchangeNews);
     for (Vm vm : vms) {
       for (PeerLoads.Mail mail : vm.world.peerLoads.nextRound()) {
-        LoadNews told =
+        LoadNews update =
             vm.news.next(
                 mail.kind(),
                 vm.world.state.ownLoads(),
                 List.of(),
                 List.of(),
                 vm.world.state.tallies());
-        tell(vm, mail.receiver(), told);
+        tell(vm, mail.receiver(), update);
       }
       vm.deliver();
     }
   }
 
-  private void tell(Vm from, String receiver, LoadNews told) {
+  private void tell(Vm from, String receiver, LoadNews update) {
     for (Vm vm : vms) {
-      boolean isHeard = !vm.isCut && !from.isCut && random.nextDouble() >= newsLost;
-      if (vm.world.peerLoads.address().equals(receiver) && isHeard) {
-        loop.schedule(ONE_WAY_MS + random.nextInt(5), () -> hear(vm, told));
+      boolean isDelivered = !vm.isCut && !from.isCut && random.nextDouble() >= newsLost;
+      if (vm.world.peerLoads.address().equals(receiver) && isDelivered) {
+        loop.schedule(ONE_WAY_MS + random.nextInt(5), () -> hear(vm, update));
       }
     }
   }
 
-  private static void hear(Vm vm, LoadNews told) {
-    if (vm.world.peerLoads.heard(told)) {
-      FleetTallies.heard(told, vm.world.state.tallies());
+  private static void hear(Vm vm, LoadNews update) {
+    if (vm.world.peerLoads.heard(update)) {
+      FleetTallies.heard(update, vm.world.state.tallies());
     }
   }
 
-  /** Returns the part of some calls of which something is true. */
+  /** Returns the share of the calls matching {@code of} that also match {@code what}. */
   double part(Predicate<Call> of, Predicate<Call> what) {
     long all = calls.stream().filter(of).count();
     return (double) calls.stream().filter(of.and(what)).count() / Math.max(1, all);
   }
 
-  /** Returns how many are served in time. */
+  /** Returns the number of calls that were served in time. */
   long inTime() {
     return calls.stream().filter(Call::isInTime).count();
   }
