--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Backend.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Backend.java
@@ -21,17 +21,19 @@
 import org.landingtrack.internal.loads.PeerLoads;
 
 /**
- * One start of a backend server with what this VM has seen of it: requests under way, failures, and
- * which parts of prompts it probably keeps. Another start of the server begins with none of that.
+ * One incarnation of a backend server, that is one run of its process, with what this VM observed
+ * of it: requests in flight, failures, and which prompt parts it probably has in its cache. The
+ * next incarnation of the server starts without this state. Not thread-safe; used on the event loop
+ * only.
  */
 final class Backend {
-  /** Failures in a row after which a server gets no requests for a while. */
+  /** Consecutive failures after which a server gets no requests for a while. */
   private static final int FAILURES_TO_EJECT = 3;
 
   private static final long FIRST_EJECTION_MS = 1_000;
   private static final long MAX_EJECTION_MS = 8_000;
 
-  /** How long a server that was full or loading is passed over if there are others. */
+  /** How long a server that was full or loading is skipped if there are others. */
   private static final long REFUSED_MS = 150;
 
   private ServerEntry entry;
@@ -75,13 +77,14 @@
   }
 
   /**
-   * Returns the server after it started again: of this start it has only the speed of the machine.
+   * Returns the server after a restart. The new incarnation keeps only the learned speed of the
+   * machine.
    */
   Backend startedAgain(ServerEntry next, long sinceMs) {
     return new Backend(next, sinceMs, timing.ofNextStart());
   }
 
-  /** Takes a changed entry; {@code sinceMs} is when it may have changed at the earliest. */
+  /** Applies a changed entry; {@code sinceMs} is the earliest time of the change. */
   void update(ServerEntry changed, long sinceMs) {
     entry = changed;
     startHash = changed.startedMs() == 0 ? idHash : Hashes.weight(idHash, changed.startedMs());
@@ -96,27 +99,27 @@
     return entry;
   }
 
-  /** Notes the store's revision by which this VM heard of the entry. */
+  /** Sets the store revision at which this VM last saw the entry. */
   void listedAt(long revision) {
     listedRevision = revision;
   }
 
-  /** Returns the store's revision by which this VM heard of the entry last. */
+  /** Returns the store revision at which this VM last saw the entry. */
   long listedRevision() {
     return listedRevision;
   }
 
-  /** Returns the hash of the id, by which prompts find their home. */
+  /** Returns the hash of the id, by which prompts are placed on their preferred server. */
   long idHash() {
     return idHash;
   }
 
-  /** Returns the hash of this start, by which VMs tell each other what it has under way. */
+  /** Returns the hash of this incarnation, by which VMs report their load on it to each other. */
   long startHash() {
     return startHash;
   }
 
-  /** Notes the version of weights that an answer told of; it may be ahead of the entry. */
+  /** Notes the weights version reported in an answer, which may be newer than the entry's. */
   void learnWeights(String model, long version) {
     Long before = learnedWeights.put(model, version);
     if (before == null || before < version) {
@@ -130,13 +133,15 @@
     return Math.max(listed, learnedWeights.getOrDefault(model, 0L));
   }
 
-  /** Notes that the server's entry was removed, since {@code sinceMs} at the earliest. */
+  /**
+   * Notes that the server's entry was removed; {@code sinceMs} is the earliest time of the removal.
+   */
   void removed(long sinceMs, long nowMs) {
     goneAtMs = sinceMs;
     heardGoneAtMs = nowMs;
   }
 
-  /** Returns when this VM heard that the entry was removed last. */
+  /** Returns when this VM last learned that the entry was removed. */
   long heardGoneAtMs() {
     return heardGoneAtMs;
   }
@@ -145,16 +150,19 @@
     return goneAtMs != Long.MAX_VALUE;
   }
 
-  /** Returns how long ago the server may have begun to leave, or its entry gone; -1 if neither. */
+  /**
+   * Returns how long ago the server may have begun to leave, or its entry disappeared, at the
+   * earliest; -1 if neither happened.
+   */
   long leavingForMs(long nowMs) {
     long since = Math.min(goneAtMs, leavingAtMs);
     return since == Long.MAX_VALUE ? -1 : nowMs - since;
   }
 
   /**
-   * Notes that the server itself said in an answer that it leaves; returns true if that is new.
-   * While the platform's store is away this is the only word of it, and the server never takes it
-   * back, whatever the store says later.
+   * Notes that the server announced in an answer that it leaves; returns true if that is new.
+   * During an outage of the platform's store this is the only information about it. The
+   * announcement is final, whatever the store says later.
    */
   boolean saysLeaving(long nowMs) {
     boolean isNew = !saidLeaving;
@@ -163,19 +171,19 @@
     return isNew;
   }
 
-  /** Notes that the server said what cannot be read; returns true if that is new. */
+  /** Notes that the server sent an unreadable notice; returns true if it is the first. */
   boolean saysUnreadable() {
     boolean isNew = !saidUnreadable;
     saidUnreadable = true;
     return isNew;
   }
 
-  /** Returns true if the server said itself that it leaves. */
+  /** Returns true if the server announced in an answer that it leaves. */
   boolean hasSaidLeaving() {
     return saidLeaving;
   }
 
-  /** Returns true if the server announced its end, in its entry or in an answer. */
+  /** Returns true if the server announced that it leaves, in its entry or in an answer. */
   boolean isLeaving() {
     return entry.leaving() || saidLeaving;
   }
@@ -184,7 +192,7 @@
     return nowMs < ejectedUntilMs;
   }
 
-  /** Notes that the server is cold until a time; what was known of it to be cold longer holds. */
+  /** Notes that the server is cold until a time; a later end that is already known stays. */
   void coldUntil(long untilMs) {
     coldUntilMs = Math.max(coldUntilMs, untilMs);
   }
@@ -194,12 +202,12 @@
     return coldUntilMs == Long.MIN_VALUE ? 0 : coldUntilMs - nowMs;
   }
 
-  /** Returns the requests that this VM sent the server in a slot of time while it was cold. */
+  /** Returns this VM's sends per time slot to the server while it was cold. */
   DrawnSlots.Used coldSends() {
     return coldSends;
   }
 
-  /** Returns those that this VM sent it in a slot of time while it had a limit. */
+  /** Returns this VM's sends per time slot to the server while it had a limit. */
   DrawnSlots.Used limitedSends() {
     return limitedSends;
   }
@@ -216,7 +224,7 @@
     return pendingTokens;
   }
 
-  /** Returns the tokens of memory that this VM's requests under way need there. */
+  /** Returns the KV cache tokens that this VM's requests in flight need on the server. */
   long heldTokens() {
     return heldTokens;
   }
@@ -224,8 +232,8 @@
   /**
    * Notes a request that was sent.
    *
-   * @param readTokens prompt tokens that the server has to read
-   * @param memoryTokens what the request takes of an engine's memory
+   * @param readTokens prompt tokens that the server has to prefill
+   * @param memoryTokens tokens that the request occupies in the engine's memory
    */
   void sent(long readTokens, long memoryTokens) {
     inFlight++;
@@ -253,7 +261,7 @@
     refusedUntilMs = nowMs + REFUSED_MS;
   }
 
-  /** Notes a failure; returns true if the server is ejected by it. */
+  /** Notes a failure; returns true if it ejects the server. */
   boolean failed(long nowMs) {
     failures++;
     if (failures < FAILURES_TO_EJECT) {
@@ -266,50 +274,53 @@
     return true;
   }
 
-  /** Notes that the server has other weights than known, by its word the newest named. */
+  /**
+   * Notes that the server refused because it has newer weights than known; {@code newest} is the
+   * newest announced version.
+   */
   void refusedWeights(String model, long newest) {
     if (weights(model) < newest) {
       learnWeights(model, newest);
     }
   }
 
-  /** Notes that the server does not have the newest weights: what its entry says counts again. */
+  /** Notes that the server lacks the newest weights: the version in its entry counts again. */
   void lacksWeights(String model, long nowMs) {
     learnedWeights.remove(model);
     refused(nowMs);
   }
 
-  /** Returns which parts of prompts the server probably keeps. */
+  /** Returns the prompt parts that the server probably has in its cache. */
   KeptParts kept() {
     return kept;
   }
 
-  /** Returns how quickly the server answers, if it is an engine. */
+  /** Returns the learned response times of the server, if it is an engine. */
   EngineTiming timing() {
     return timing;
   }
 
-  /** Returns the fetches that this VM ordered over the server's link. */
+  /** Returns the fetches that this VM ordered over the server's network link. */
   LinkBacklog backlog() {
     return backlog;
   }
 
-  /** Returns the rest that the server asked this VM for. */
+  /** Returns the backoff that the server asked this VM for. */
   ServerRest rest() {
     return rest;
   }
 
-  /** Notes that the server asked for something new. */
+  /** Counts a notice of the server that says something new. */
   void noticed() {
     notices++;
   }
 
-  /** Returns how often the server asked for something new. */
+  /** Returns the number of notices that said something new. */
   int notices() {
     return notices;
   }
 
-  /** Returns how long the server's link is busy with the known fetches of all VMs. */
+  /** Returns how long the server's network link is busy with the known fetches of all VMs. */
   double backlogMs(long nowMs, PeerLoads peerLoads) {
     return backlog.ms(nowMs) + peerLoads.movingMs(startHash);
   }
@@ -318,7 +329,9 @@
     return timing.msPerToken();
   }
 
-  /** Notes that another start has the server's address: this one is gone and never returns. */
+  /**
+   * Notes that a later incarnation has the server's address: this one is gone and never returns.
+   */
   void replacedByAnother() {
     replaced = true;
   }
@@ -327,7 +340,10 @@
     return replaced;
   }
 
-  /** Notes that this start ended under what it had; an answer of it proves that wrong. */
+  /**
+   * Notes that this incarnation ended while requests were in flight; a later successful answer
+   * clears that.
+   */
   void end() {
     ended = true;
   }
@@ -336,7 +352,7 @@
     return ended;
   }
 
-  /** Forgets all parts, after the server's weights changed. */
+  /** Forgets all cached parts, after the server's weights changed. */
   void forgetParts() {
     kept.clear();
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/BackendHealth.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/BackendHealth.java
@@ -24,14 +24,18 @@
 import org.landingtrack.internal.serving.ServerChooser.Choice;
 
 /**
- * What sends tell of backend servers, and which servers are ejected by what all VMs saw. Does
- * nothing where operators switched that off.
+ * Reports the outcomes of sends to the shared health data and says which backend servers are
+ * ejected by it. Does nothing if operators disabled shared health. Not thread-safe; used on the
+ * event loop only.
  */
 final class BackendHealth {
-  /** Of an engine's answer this is not reading: the link, and the step of its first event. */
+  /**
+   * Part of an engine's response time that is not prefill: the network and the step that produces
+   * the first event.
+   */
   private static final double ENGINE_FLOOR_MS = 20;
 
-  /** A request that tries an ejected server may wait there for this share of its target. */
+  /** Share of its latency target that a request may wait at an ejected server that it probes. */
   private static final double PROBE_SHARE = 0.5;
 
   private static final int UNAVAILABLE = 503;
@@ -61,7 +65,7 @@
     return health;
   }
 
-  /** Tells of changes. */
+  /** Logs ejections and their ends. */
   private final class Changes implements SharedHealth.Listener {
     @Override
     public void ejected(long server, String why) {
@@ -80,7 +84,7 @@
     }
   }
 
-  /** Returns what a request is for the server that was chosen, before it is sent there. */
+  /** Returns the expected work of a request on the chosen server, before it is sent there. */
   Work work(Choice choice, Route route, boolean isEngine) {
     Backend backend = choice.backend();
     double units =
@@ -95,7 +99,10 @@
         route.targetLatencyMs());
   }
 
-  /** A plain server works on as many requests at once as it has slots; others come before. */
+  /**
+   * Returns the position of a request in units of a server's slots. A plain server runs as many
+   * requests at once as it has slots; those beyond that queue.
+   */
   private double plainUnits(Backend backend) {
     int running = backend.inFlight() + state.peerLoads().running(backend.startHash()) + 1;
     return (double) running / Math.max(1, backend.entry().slots());
@@ -114,7 +121,10 @@
     }
   }
 
-  /** Notes a whole answer. What a server could not take says nothing of its health. */
+  /**
+   * Notes a complete answer. A 503 says that the server could not accept the request, which says
+   * nothing about its health.
+   */
   void ended(Attempt attempt, AnswerHead head) {
     if (shared == null || head.status() == UNAVAILABLE) {
       return;
@@ -126,28 +136,28 @@
     }
   }
 
-  /** Notes a connection that broke or did not come up. */
+  /** Notes a connection that broke or could not be opened. */
   void failed(Attempt attempt) {
     if (shared != null) {
       shared.failed(attempt);
     }
   }
 
-  /** Notes that nothing more is heard of a send. */
+  /** Notes that no further outcome of a send will arrive. */
   void over(Attempt attempt) {
     if (shared != null) {
       shared.over(attempt);
     }
   }
 
-  /** Returns true if a server is ejected and it is this VM's turn to try it. */
+  /** Returns true if a server is ejected and it is this VM's turn to probe it. */
   boolean mayProbe(Backend backend) {
     return shared != null && shared.mayProbe(backend.startHash());
   }
 
   /**
-   * Returns true if a request may try an ejected server: it may be sent again in time, and nothing
-   * is lost.
+   * Returns true if a request may be used to probe an ejected server: it can be sent again in time,
+   * and nothing is lost if the probe fails.
    */
   boolean suits(CallerRequest request, Route route, String service, SendHistory history) {
     long ageMs = loop.millis() - request.receivedAtMs();
@@ -160,12 +170,12 @@
         && state.retries(service).hasRetry();
   }
 
-  /** Returns how long a request that tries an ejected server may wait for it to begin. */
+  /** Returns how long a request that probes an ejected server may wait for its first event. */
   long probeMs(Route route) {
     return (long) (PROBE_SHARE * route.targetLatencyMs());
   }
 
-  /** Notes that a request tries an ejected server. */
+  /** Notes that a request probes an ejected server. */
   void probes(Backend backend) {
     if (shared != null) {
       probes++;
@@ -173,12 +183,12 @@
     }
   }
 
-  /** Returns how often this VM tried an ejected server. */
+  /** Returns how often this VM probed an ejected server. */
   long probes() {
     return probes;
   }
 
-  /** Returns how many servers are ejected by what all VMs saw. */
+  /** Returns the number of servers that are ejected by the shared health data. */
   int ejectedCount() {
     return shared == null ? 0 : shared.ejectedCount();
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Bar.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Bar.java
@@ -17,21 +17,21 @@
 
 import java.util.Locale;
 
-/** Why a server may not have a request, as logs and refusals tell it. */
+/** Reason why a server may not get a request, as written in logs and refusals. */
 enum Bar {
-  /** It had the request before. */
+  /** The request was already sent to it. */
   TRIED,
-  /** Another VM found another start at its address. */
+  /** Another VM found a later incarnation at its address. */
   ENDED,
   /** Its data centre is evacuated. */
   EVACUATED,
-  /** Its region is no home of the request's route or team. */
+  /** Its region is not one of the allowed regions of the request's route or team. */
   NOT_HOME,
-  /** It asked this VM for rest. */
+  /** It asked this VM to back off. */
   RESTING,
-  /** It is cold, and this VM's share of what it bears is used up for the moment. */
+  /** It is cold, and this VM's share of its capacity is used up for the moment. */
   COLD,
-  /** It named a limit, and this VM may send it nothing at the moment. */
+  /** It has a request limit, and this VM may send it nothing at the moment. */
   LIMITED;
 
   String text() {
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ColdServers.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ColdServers.java
@@ -19,31 +19,33 @@
 import java.util.function.IntSupplier;
 
 /**
- * Sends cold servers no more than they bear, over all VMs, without a word between them.
+ * Limits the requests of all VMs to cold servers, without communication between VMs.
  *
- * <p>A server that has just started falls over under its usual load. Each VM may send it a request
- * in some short slots of time, drawn by a hash of its own: as many, over all VMs, as stay within
- * the bound in any second. A slot that passes unused is lost, so that VMs which rested cannot send
- * together what they saved. No VM has to know what others send; one that does not know how many
- * others there are counts on very many. A VM pays a hash for each cold server that it considers.
+ * <p>A server that has just started fails under its usual load. Each VM may send it a request only
+ * in short time slots that are drawn by a hash that differs between VMs. Over all VMs, the number
+ * of drawn slots keeps the requests in any second within the bound. An unused slot expires, so idle
+ * VMs cannot save up capacity and use it all at once. No VM has to know what the others send; a VM
+ * that does not know how many others there are assumes a very large number. The cost is one hash
+ * for each cold server that is considered.
  *
- * <p>Weighed: no requests to cold servers at all (the others then carry all while a data centre
- * comes back, and where all are cold nothing is served); a bucket of tokens each (full ones are
- * emptied together: 71 requests at once where 21 are allowed).
+ * <p>Alternatives considered: no requests to cold servers at all (the others then carry the whole
+ * load while a data centre comes back, and where all are cold nothing is served); a token bucket on
+ * each VM (full buckets are emptied at the same time: 71 requests at once where 21 are allowed).
  */
 final class ColdServers {
-  /** Short, so that few slots of a VM meet one second only in part. */
+  /** Short, so that only few slots lie partly within a given second. */
   static final long SLOT_MS = 200;
 
   private static final double SECOND_MS = 1_000;
 
-  /** A second touches so many times the slots that fit into it. */
+  /** Factor by which the slots that overlap any given second exceed those that fit into it. */
   private static final double OVERLAP = 1 + SLOT_MS / SECOND_MS;
 
   /**
-   * VMs draw their slots each for itself, so what they may send in a second varies as a Poisson
-   * number; its mean is so many standard deviations below the bound. Worked out, that is passed in
-   * some four of ten million seconds at 11 requests a second, and four of a million at 2.
+   * Number of standard deviations by which the mean number of requests in a second lies below the
+   * bound. VMs draw their slots independently, so the number follows a Poisson distribution.
+   * Calculated, the bound is exceeded in about four of ten million seconds at 11 requests per
+   * second, and four of a million at 2.
    */
   private static final double DEVIATIONS = 6.3;
 
@@ -55,12 +57,12 @@
   private long passedOver;
 
   /**
-   * Creates the shares of one VM.
+   * Creates the limiter of one VM.
    *
-   * @param vms the VMs that may send, at least as many as there are
-   * @param overshoot a cold server bears so many times its rate in a single second
-   * @param tolerance and so many requests more
-   * @param salt differs from VM to VM
+   * @param vms returns the number of VMs that may send, or more
+   * @param overshoot factor of its rate that a cold server can take in a single second
+   * @param tolerance number of requests that it can take on top of that
+   * @param salt differs between VMs
    */
   ColdServers(EventLoop loop, IntSupplier vms, double overshoot, double tolerance, long salt) {
     this.loop = loop;
@@ -75,9 +77,9 @@
     if (!isCold(backend, service)) {
       return true;
     }
-    boolean may = slots.isFree(backend.coldSends(), backend.startHash(), slotMean(service));
-    passedOver += may ? 0 : 1;
-    return may;
+    boolean isAllowed = slots.isFree(backend.coldSends(), backend.startHash(), slotMean(service));
+    passedOver += isAllowed ? 0 : 1;
+    return isAllowed;
   }
 
   private boolean isCold(Backend backend, ServiceInfo service) {
@@ -91,13 +93,13 @@
     }
   }
 
-  /** Returns the requests that this VM may send in one slot, in the mean. */
+  /** Returns the mean number of requests that this VM may send in one slot. */
   private double slotMean(ServiceInfo service) {
     return fleetRate(service) * SLOT_MS / SECOND_MS / Math.max(1, vms.getAsInt());
   }
 
   /**
-   * Returns the requests a second that all VMs together send a cold server at most, in the mean.
+   * Returns the mean request rate per second that all VMs together send to a cold server at most.
    */
   double fleetRate(ServiceInfo service) {
     double bound = service.coldPerSecond() * overshoot + tolerance;
@@ -106,9 +108,9 @@
   }
 
   /**
-   * Returns how long a request is expected to wait until one of some cold servers may have it.
+   * Returns the expected time until a request may be sent to one of the given cold servers.
    *
-   * @param before requests of this VM that wait as well
+   * @param before requests of this VM that wait in front of it
    */
   long waitMs(Collection<Backend> servers, ServiceInfo service, int before) {
     long coldMs = Long.MAX_VALUE;
@@ -116,11 +118,11 @@
       coldMs = Math.min(coldMs, backend.coldForMs(loop.millis()));
     }
     double ownRate = fleetRate(service) * servers.size() / Math.max(1, vms.getAsInt());
-    double turnMs = ownRate == 0 ? Double.MAX_VALUE : (before + 1) * SECOND_MS / ownRate;
-    return Math.min(coldMs, (long) turnMs);
+    double shareMs = ownRate == 0 ? Double.MAX_VALUE : (before + 1) * SECOND_MS / ownRate;
+    return Math.min(coldMs, (long) shareMs);
   }
 
-  /** Returns how often a server was passed over because it is cold. */
+  /** Returns how often a server was skipped because it is cold. */
   long passedOver() {
     return passedOver;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/DrawnSlots.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/DrawnSlots.java
@@ -18,22 +18,25 @@
 import org.landingtrack.internal.base.Hashes;
 
 /**
- * Short slots of time in which a VM may send a server some requests, drawn by a hash of its own, so
- * that VMs share what a server takes without a word between them. A slot that passes unused is
- * lost: VMs which rested cannot send together what they saved.
+ * Short time slots in which a VM may send some requests to a server. The capacity of each slot is
+ * drawn by a hash that differs between VMs, so that VMs share a server's capacity without
+ * communication. An unused slot expires: idle VMs cannot save up capacity and use it all at once.
+ * Used on the event loop only.
  */
 final class DrawnSlots {
   private final EventLoop loop;
   private final long slotMs;
   private final long salt;
 
-  /** Weight of the latest slot in the share of slots that have a request. */
+  /** Weight of the latest slot in the moving average of slots with a request. */
   private static final double LATEST_WEIGHT = 0.1;
 
-  /** A VM without requests still counts on one in so many slots. */
+  /** Lower bound of the average: a VM without requests still counts on one in 32 slots. */
   private static final double LEAST_DEMAND = 1.0 / 32;
 
-  /** The requests that were sent in the last slot in which there were any, for one server. */
+  /**
+   * Usage of one server's slots: the sends in the last slot that had any, and the recent demand.
+   */
   static final class Used {
     private long slot = Long.MIN_VALUE;
     private int sends;
@@ -44,8 +47,8 @@
   /**
    * Creates the slots of one VM.
    *
-   * @param slotMs how long a slot is
-   * @param salt differs from VM to VM
+   * @param slotMs length of a slot
+   * @param salt differs between VMs
    */
   DrawnSlots(EventLoop loop, long slotMs, long salt) {
     this.loop = loop;
@@ -54,40 +57,40 @@
   }
 
   /**
-   * Returns true if this slot has room for one request more.
+   * Returns true if the current slot has capacity for one more request.
    *
-   * @param mean what a slot has room for, in the mean of many
+   * @param mean mean capacity of a slot
    */
-  boolean isFree(Used used, long server, double mean) {
-    noteAsked(used);
-    int sends = used.slot == slot() ? used.sends : 0;
+  boolean isFree(Used usage, long server, double mean) {
+    noteAsked(usage);
+    int sends = usage.slot == slot() ? usage.sends : 0;
     return sends < drawn(server, mean);
   }
 
-  private void noteAsked(Used used) {
-    if (used.askedSlot != slot()) {
-      used.demand = demand(used);
-      used.askedSlot = slot();
+  private void noteAsked(Used usage) {
+    if (usage.askedSlot != slot()) {
+      usage.demand = demand(usage);
+      usage.askedSlot = slot();
     }
   }
 
-  /** Returns the share of the slots lately in which there was a request for the server. */
-  double demand(Used used) {
-    if (used.askedSlot == Long.MIN_VALUE) {
+  /** Returns the share of recent slots in which a request for the server was waiting. */
+  double demand(Used usage) {
+    if (usage.askedSlot == Long.MIN_VALUE) {
       return 1;
     }
-    long slots = slot() - used.askedSlot;
+    long slots = slot() - usage.askedSlot;
     if (slots == 0) {
-      return used.demand;
+      return usage.demand;
     }
-    double asked = used.demand + LATEST_WEIGHT * (1 - used.demand);
-    return Math.max(LEAST_DEMAND, asked * Math.pow(1 - LATEST_WEIGHT, (double) slots - 1));
+    double updated = usage.demand + LATEST_WEIGHT * (1 - usage.demand);
+    return Math.max(LEAST_DEMAND, updated * Math.pow(1 - LATEST_WEIGHT, (double) slots - 1));
   }
 
-  /** Notes a request that is sent in this slot. */
-  void use(Used used) {
-    used.sends = used.slot == slot() ? used.sends + 1 : 1;
-    used.slot = slot();
+  /** Notes a request that is sent in the current slot. */
+  void use(Used usage) {
+    usage.sends = usage.slot == slot() ? usage.sends + 1 : 1;
+    usage.slot = slot();
   }
 
   private long slot() {
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Eligibility.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Eligibility.java
@@ -21,9 +21,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Who may have a request: the rules that bind whatever a choice would cost, one after the other.
- * What a server's own state says, that it leaves or was ejected, is in {@link ServerBook}; which
- * weights it must have, in {@link SendPlanner}.
+ * Decides whether a server may get a request, by rules that apply regardless of routing cost. The
+ * server's own state, such as leaving or ejected, is handled by {@link ServerBook}; the weights
+ * that it must have, by {@link SendPlanner}. Used on the event loop only.
  */
 final class Eligibility {
   private final EventLoop loop;
@@ -34,16 +34,17 @@
   private final Map<String, String> regions;
 
   /**
-   * What binds one request.
+   * Conditions that apply to one request.
    *
-   * @param tried servers that had it already
+   * @param tried ids of servers to which the request was already sent
+   * @param homes regions in which the request may run
    */
   record Terms(Set<String> tried, Homes homes, ServiceInfo service) {}
 
   /**
    * Creates the rules.
    *
-   * @param ended which starts of servers are over
+   * @param ended returns true for server incarnations that ended
    * @param regions the region of each data centre
    */
   Eligibility(
@@ -61,7 +62,7 @@
     this.regions = Map.copyOf(regions);
   }
 
-  /** Returns why a server may not have a request now, or null if it may. */
+  /** Returns why a server may not get a request now, or null if it may. */
   @Nullable Bar bar(Backend backend, Terms terms) {
     ServerEntry entry = backend.entry();
     if (terms.tried().contains(entry.id())) {
@@ -85,7 +86,7 @@
     return limited.mayTake(backend) ? null : Bar.LIMITED;
   }
 
-  /** Returns true if a request may run, or its kept state lie, in a data centre. */
+  /** Returns true if a request may run, or its cached state may be stored, in a data centre. */
   boolean isHome(String dataCentre, Homes homes) {
     return homes.allow(regions.get(dataCentre));
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/EndedStarts.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/EndedStarts.java
@@ -24,17 +24,17 @@
 import org.landingtrack.internal.loads.TallyTopic;
 
 /**
- * Starts of backend servers that are over though their entries remain: another start answered at
- * their address. VMs tell each other, or each of them would lose a request's send at each such
- * server. An entry goes within seconds of the end; what is told is over by then. Costs nothing
- * while no server ended, and 11 bytes a start in each message otherwise. Used on the event loop
- * only.
+ * Server incarnations that have ended while their entries remain, as found by another incarnation
+ * answering at their address. VMs report such incarnations to each other; otherwise each VM would
+ * waste a send of a request on each of these servers. An entry disappears within seconds of the
+ * end, and the reports stop after that. Costs nothing while no server ended, and 11 bytes per
+ * incarnation in each message otherwise. Used on the event loop only.
  */
 final class EndedStarts {
-  /** A start is told for so long, which is longer than its entry remains. */
+  /** How long an ended incarnation is reported, which is longer than its entry remains. */
   static final long TOLD_MS = 6_000;
 
-  /** Starts that are remembered; more do not end at once on any deployment planned for. */
+  /** Bound of remembered incarnations. No deployment planned for has more that end at once. */
   private static final int MAX_KEPT = 1_024;
 
   private final EventLoop loop;
@@ -46,14 +46,14 @@
     this.fleet = state.tally(TallyTopic.ENDED_STARTS, this::seenHere);
   }
 
-  /** Notes that another start answered at the address of this one. */
-  void seen(Backend ended) {
+  /** Notes that another incarnation answered at the address of this one. */
+  void seen(Backend backend) {
     if (seenAtMs.size() < MAX_KEPT) {
-      seenAtMs.put(ended.startHash(), loop.millis());
+      seenAtMs.put(backend.startHash(), loop.millis());
     }
   }
 
-  /** Returns true if another VM tells that a start is over. */
+  /** Returns true if another VM reports that an incarnation has ended. */
   boolean isEnded(Backend backend) {
     return fleet.others(backend.startHash()).count(0) > 0;
   }
@@ -63,8 +63,8 @@
       return List.of();
     }
     seenAtMs.values().removeIf(atMs -> loop.millis() - atMs > TOLD_MS);
-    List<Tally> told = new ArrayList<>();
-    seenAtMs.keySet().forEach(start -> told.add(new Tally(start, 1)));
-    return told;
+    List<Tally> reports = new ArrayList<>();
+    seenAtMs.keySet().forEach(start -> reports.add(new Tally(start, 1)));
+    return reports;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Evacuations.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Evacuations.java
@@ -22,15 +22,16 @@
 import java.util.function.Consumer;
 
 /**
- * Data centres that operators evacuate: nothing more is sent to the servers there, and what runs
- * there goes on. Costs a look-up for each server that is considered. Used on the event loop only.
+ * Data centres that operators evacuate: no new requests are sent to the servers there, and requests
+ * in flight there continue. Costs one lookup for each server that is considered. Used on the event
+ * loop only.
  *
- * <p>An evacuation that is missing after the store came back from an older copy stands for {@link
- * #RESTORE_MS} more, in which operators write it again: without this a VM would send to an emptied
- * data centre because the store had forgotten.
+ * <p>If the store comes back from an older copy that lacks an evacuation, the evacuation stays in
+ * force for {@link #RESTORE_MS}, in which operators write it again. Otherwise a VM would send to an
+ * evacuated data centre because the store lost the change.
  */
 public final class Evacuations {
-  /** What was lost with the store's latest changes is written again within this time. */
+  /** Time within which operators are expected to repeat changes that the store lost. */
   private static final long RESTORE_MS = 10_000;
 
   private final EventLoop loop;
@@ -40,7 +41,7 @@
   private boolean known = true;
   private long passedOver;
 
-  /** One that stands, since a time; another object for the same data centre is a later one. */
+  /** An evacuation in force; a later one of the same data centre is a different object. */
   private static final class Evacuation {
     private final long sinceMs;
     private boolean isMissing;
@@ -55,25 +56,25 @@
     this.log = log;
   }
 
-  /** Tells {@code listener} from now on of each data centre whose evacuation is taken back. */
+  /** Sets the listener for data centres whose evacuation ended. */
   void onEnded(Consumer<String> listener) {
     ended = listener;
   }
 
-  /** Says that this VM reads which stand: until it has, it does not know. */
+  /** Declares that this VM reads the evacuations from the store; until then they are unknown. */
   public void expectList() {
     known = false;
   }
 
-  /** Returns true unless what stands is still to be read. */
+  /** Returns true unless the evacuations have still to be read. */
   boolean known() {
     return known;
   }
 
   /**
-   * Takes all that stand.
+   * Applies the full list of evacuations.
    *
-   * @param storeIsOlder true if the store may have forgotten some
+   * @param storeIsOlder true if the store came from an older copy and may lack some
    */
   public void replaceAll(Collection<String> dataCentres, boolean storeIsOlder) {
     dataCentres.forEach(this::begin);
@@ -90,42 +91,45 @@
     }
   }
 
-  private void holdMissing(String dataCentre, Evacuation held) {
-    held.isMissing = true;
+  private void holdMissing(String dataCentre, Evacuation evacuation) {
+    evacuation.isMissing = true;
     loop.schedule(
         RESTORE_MS,
         () -> {
-          if (held.isMissing && standing.get(dataCentre) == held) {
+          if (evacuation.isMissing && standing.get(dataCentre) == evacuation) {
             end(dataCentre);
           }
         });
   }
 
-  /** Takes one that begins, or that stands already. */
+  /** Begins an evacuation, or confirms one that is in force. */
   public void begin(String dataCentre) {
-    Evacuation known = standing.get(dataCentre);
-    if (known != null) {
-      known.isMissing = false;
+    Evacuation evacuation = standing.get(dataCentre);
+    if (evacuation != null) {
+      evacuation.isMissing = false;
       return;
     }
     standing.put(dataCentre, new Evacuation(loop.millis()));
     log.evacuation(dataCentre, true, 0);
   }
 
-  /** Takes one back. */
+  /** Ends an evacuation. */
   public void end(String dataCentre) {
-    Evacuation known = standing.remove(dataCentre);
-    if (known != null) {
-      log.evacuation(dataCentre, false, loop.millis() - known.sinceMs);
+    Evacuation evacuation = standing.remove(dataCentre);
+    if (evacuation != null) {
+      log.evacuation(dataCentre, false, loop.millis() - evacuation.sinceMs);
       ended.accept(dataCentre);
     }
   }
 
-  /** Returns true if nothing may be sent to a data centre's servers. */
+  /**
+   * Returns true if no new requests may be sent to a data centre's servers. Counts the skipped
+   * server.
+   */
   boolean holds(String dataCentre) {
-    boolean holds = standing.containsKey(dataCentre);
-    passedOver += holds ? 1 : 0;
-    return holds;
+    boolean isEvacuated = standing.containsKey(dataCentre);
+    passedOver += isEvacuated ? 1 : 0;
+    return isEvacuated;
   }
 
   /** Returns the data centres that are evacuated. */
@@ -133,7 +137,7 @@
     return Set.copyOf(standing.keySet());
   }
 
-  /** Returns how often a server was passed over because of an evacuation. */
+  /** Returns how often a server was skipped because of an evacuation. */
   public long passedOver() {
     return passedOver;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Homes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Homes.java
@@ -21,25 +21,25 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The regions in which requests may run and their kept state may lie.
+ * Regions in which requests may run and their cached state may be stored.
  *
  * @param bind false if all regions are allowed
- * @param regions the allowed ones, if only some are
+ * @param regions the allowed regions, if not all are
  */
 public record Homes(boolean bind, Set<String> regions) {
-  /** All regions. */
+  /** All regions are allowed. */
   public static final Homes ANYWHERE = new Homes(false, Set.of());
 
   public Homes {
     regions = Set.copyOf(regions);
   }
 
-  /** Returns the homes that a configuration names; none named means all. */
+  /** Returns the regions that a configuration names; an empty collection means all. */
   public static Homes of(Collection<String> regions) {
     return regions.isEmpty() ? ANYWHERE : new Homes(true, Set.copyOf(regions));
   }
 
-  /** Returns what both allow. */
+  /** Returns the regions that both allow. */
   Homes and(Homes other) {
     if (!bind) {
       return other;
@@ -52,7 +52,10 @@
     return new Homes(true, common);
   }
 
-  /** Returns true if a region is allowed; one that is not known is not, where homes bind. */
+  /**
+   * Returns true if a region is allowed. An unknown region (null) is only allowed if all regions
+   * are.
+   */
   boolean allow(@Nullable String region) {
     return !bind || (region != null && regions.contains(region));
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/LimitedServers.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/LimitedServers.java
@@ -19,44 +19,59 @@
 import org.landingtrack.internal.loads.PeerLoads;
 
 /**
- * Shares the requests that a server with a limit takes among all VMs.
+ * Shares the request limit of a server among all VMs.
  *
- * <p>Each VM knows by the news of the others how many requests the server was sent lately. While
- * that leaves room, VMs send in some short slots of time that each draws by a hash of its own: as
- * many of them as there is room for. So the limit is used also where few VMs have requests, and
- * what several send before they hear of each other is bounded. VMs that do not hear each other have
- * equal parts of the limit, so that it holds also then.
+ * <p>Each VM knows from the reports of the others how many requests the server was sent recently.
+ * While that leaves capacity, VMs send in short time slots that each draws by a hash of its own;
+ * the number of drawn slots follows the capacity. So the limit can be used up even if only few VMs
+ * have requests, and the number of requests that several VMs send before they hear of each other is
+ * bounded. VMs that do not hear each other use equal shares of the limit, so that the limit holds
+ * in that case too.
  *
- * <p>A VM pays one look-up for each server that it considers while any has a limit.
+ * <p>The cost is one lookup for each server that is considered while any server has a limit. Used
+ * on the event loop only.
  */
 final class LimitedServers {
-  /** VMs that tell each other all hear of each other's sends after one such slot or two. */
+  /**
+   * Slot length where all VMs report to each other: they hear of each other's sends after one or
+   * two such slots.
+   */
   private static final long MESH_SLOT_MS = PeerLoads.ROUND_MS;
 
-  /** Where news come by way of hubs, so that few slots begin before a send is known. */
+  /**
+   * Slot length where reports go through hubs; long, so that few slots begin before a send is
+   * known.
+   */
   private static final long HUB_SLOT_MS = 1_500;
 
-  /** Slots that begin, with the one of a send, until all VMs have heard of it. */
+  /**
+   * Number of slots that begin, counted with the slot of a send, until all VMs have heard of the
+   * send.
+   */
   private static final double MESH_BLIND_SLOTS = 2.75;
 
   private static final double HUB_BLIND_SLOTS = 1.2;
 
-  /** A server bears so many times its limit within the time over which sends are counted. */
+  /** Factor of its limit that a server can take within the window over which sends are counted. */
   private static final double OVERSHOOT = 1.5;
 
-  /** And so many requests more. */
+  /** Number of requests that it can take on top of that. */
   private static final double TOLERANCE = 5;
 
-  /** Room that is known may be filled by sends that are not heard of yet: so much of it counts. */
+  /**
+   * Share of the known free capacity that is counted, since sends not yet heard of may use the
+   * rest.
+   */
   private static final double ROOM_SHARE = 0.7;
 
   /**
-   * What VMs send before they hear of each other is drawn, so it varies as a Poisson number; its
-   * mean is so many standard deviations below what a server bears beyond its limit.
+   * Number of standard deviations by which the mean number of requests lies below what a server can
+   * take beyond its limit. What VMs send before they hear of each other is drawn, so it follows a
+   * Poisson distribution.
    */
   private static final double DEVIATIONS = 2.5;
 
-  /** Turns are drawn, and a wait is hardly ever longer than so many times its mean. */
+  /** Factor of the mean wait that hardly any wait exceeds; slots are drawn, so waits vary. */
   private static final double SURE_WAITS = 5;
 
   /** Longer than any request lives. */
@@ -72,9 +87,9 @@
   private long passedOver;
 
   /**
-   * Creates the shares of one VM.
+   * Creates the limiter of one VM.
    *
-   * @param salt differs from VM to VM
+   * @param salt differs between VMs
    */
   LimitedServers(EventLoop loop, ServerLimits limits, PeerLoads peers, long salt) {
     this.loop = loop;
@@ -90,32 +105,33 @@
     if (limit == null) {
       return true;
     }
-    boolean may =
+    boolean isAllowed =
         slots().isFree(backend.limitedSends(), backend.startHash(), slotMean(limit, backend));
-    passedOver += may ? 0 : 1;
-    return may;
+    passedOver += isAllowed ? 0 : 1;
+    return isAllowed;
   }
 
-  /** Returns the requests that this VM may send in one slot, in the mean. */
+  /** Returns the mean number of requests that this VM may send in one slot. */
   private double slotMean(ServerLimit limit, Backend backend) {
     double vms = peers.vmsAtMost();
     double heard = vms - peers.unheardVms();
-    double ours = limit.inWindow() * heard / vms;
-    double room = ours - limit.sentLately(loop.millis()) - peers.limitedSends(backend.startHash());
+    double reachableShare = limit.inWindow() * heard / vms;
+    double room =
+        reachableShare - limit.sentLately(loop.millis()) - peers.limitedSends(backend.startHash());
     double perSlot = room < 1 ? Math.max(0, room) * slotMs() / limit.windowMs() : room;
-    // Where few slots have a request, most turns pass unused: more are drawn, but never more than
-    // the server bears if each of them has one.
-    double used = slots().demand(backend.limitedSends());
-    return Math.min(perSlot / used / heard, mostInSlot(limit, room) / vms);
+    // Where few slots have a request, most drawn slots expire unused. More are drawn to make up for
+    // that, but never more than the server can take if each of them has a request.
+    double demand = slots().demand(backend.limitedSends());
+    return Math.min(perSlot / demand / heard, mostInSlot(limit, room) / vms);
   }
 
   /**
-   * Returns what all VMs together may begin to send in one slot if each turn has a request: what
-   * they hear of each other's sends too late is still borne by the server.
+   * Returns the mean number of requests that all VMs together may send in one slot if every drawn
+   * slot has a request. Sends that VMs hear of too late still fit into what the server can take.
    */
   private double mostInSlot(ServerLimit limit, double room) {
-    double beyond = (OVERSHOOT - 1) * limit.inWindow() + TOLERANCE + ROOM_SHARE * Math.max(0, room);
-    double root = (Math.sqrt(DEVIATIONS * DEVIATIONS + 4 * beyond) - DEVIATIONS) / 2;
+    double excess = (OVERSHOOT - 1) * limit.inWindow() + TOLERANCE + ROOM_SHARE * Math.max(0, room);
+    double root = (Math.sqrt(DEVIATIONS * DEVIATIONS + 4 * excess) - DEVIATIONS) / 2;
     return root * root / (peers.isMesh() ? MESH_BLIND_SLOTS : HUB_BLIND_SLOTS);
   }
 
@@ -137,10 +153,9 @@
   }
 
   /**
-   * Returns within which time one of some servers may have a request, but for one case in a
-   * hundred.
+   * Returns the time within which one of the given servers can get a request, in 99 of 100 cases.
    *
-   * @param before requests of this VM that wait as well
+   * @param before requests of this VM that wait in front of it
    */
   long waitMs(Collection<Backend> servers, int before) {
     double perSecond = 0;
@@ -148,11 +163,13 @@
       ServerLimit limit = limits.find(backend.startHash());
       perSecond += limit == null ? 0 : limit.perSecond();
     }
-    double own = perSecond / peers.vmsAtMost();
-    return own == 0 ? MAX_WAIT_MS : (long) (SURE_WAITS * (before + 1) * MS_PER_SECOND / own);
+    double ownRate = perSecond / peers.vmsAtMost();
+    return ownRate == 0
+        ? MAX_WAIT_MS
+        : (long) (SURE_WAITS * (before + 1) * MS_PER_SECOND / ownRate);
   }
 
-  /** Returns how often a server was passed over because of its limit. */
+  /** Returns how often a server was skipped because of its limit. */
   long passedOver() {
     return passedOver;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerBook.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerBook.java
@@ -33,23 +33,25 @@
 import org.landingtrack.internal.loads.LoadNews.Load;
 
 /**
- * The backend servers that this VM knows, from their entries in the platform's store.
+ * Keeps the backend servers that this VM knows from their entries in the platform's store.
  *
- * <p>A leaving server, by its entry or by its own word in an answer, gets no new request while
- * others can serve; as a last resort it gets some for {@code lastResortMs} since the change, or
- * none where it may be older. An entry that goes while the store is in trouble may only have
- * lapsed: then the server serves on until the store has been back for {@code lapsedMs}. What went
- * before that is gone: without this, a watch that was cut let a server that had left get requests
- * for up to 4.5 s, where 2 s are allowed.
+ * <p>A leaving server, announced by its entry or by a notice in an answer, gets no new request
+ * while other servers can serve. If no other server can, it may get requests for {@code
+ * lastResortMs} after the change, and none if the change may be older than that. An entry that
+ * disappears while the store has an outage may only have expired: the server stays usable until the
+ * store has been back for the expiry grace period. Entries that disappeared before the outage are
+ * final. Without that distinction, an interrupted watch let a server that had left get requests for
+ * up to 4.5 s, where 2 s are allowed.
  *
- * <p>A server may start again under its id. The later start is another {@link Backend}, which
- * nothing of the start before is believed of; what is told late of a start before changes nothing.
- * An entry costs the same to take however many there are.
+ * <p>A server may restart under its id. The later incarnation is another {@link Backend} that takes
+ * over no observed state of the earlier one, and late reports about the earlier incarnation are
+ * ignored. Applying one entry takes constant time. Not thread-safe; used on the event loop only.
  */
 public final class ServerBook {
   /**
-   * A server that said that it leaves is remembered for so long: it may serve on for long after its
-   * entry went, and an older copy of the store, or a late list, still calls it ready.
+   * How long a server is remembered after it announced that it leaves. It may keep serving long
+   * after its entry disappeared, and an older copy of the store or a delayed list still shows it as
+   * ready.
    */
   private static final long LEFT_MS = 600_000;
 
@@ -68,39 +70,42 @@
   private boolean known;
 
   /**
-   * Creates an empty book.
+   * Creates an empty registry.
    *
    * @param lastResortMs how long a leaving server may still get requests
-   * @param lapsedMs how long after the store's return a missing entry may still come back
+   * @param expiryGraceMs how long after the store's recovery a missing entry may still come back
    */
-  public ServerBook(EventLoop loop, DecisionLog log, long lastResortMs, long lapsedMs) {
+  public ServerBook(EventLoop loop, DecisionLog log, long lastResortMs, long expiryGraceMs) {
     this.loop = loop;
     this.log = log;
     this.lastResortMs = lastResortMs;
-    this.trouble = new StoreTrouble(loop, lapsedMs);
+    this.trouble = new StoreTrouble(loop, expiryGraceMs);
   }
 
-  /** Tells {@code listener} from now on of each start that is over, since a later one is known. */
+  /** Sets the listener for incarnations that ended because a later one became known. */
   void onStartEnded(Consumer<Backend> listener) {
     startEnded = listener;
   }
 
-  /** Tells {@code listener} from now on of each server that is gone without having said so. */
+  /** Sets the listener for servers whose entry disappeared without an announcement. */
   void onGoneUnannounced(Consumer<Backend> listener) {
     goneUnannounced = listener;
   }
 
-  /** Says of the hash of a server's start whether it wants rest of other VMs. */
+  /** Sets the test for whether the incarnation with a given hash asked other VMs to back off. */
   void restsElsewhere(LongPredicate test) {
     restsElsewhere = test;
   }
 
-  /** Says of the hash of a server's start whether it is ejected by what all VMs saw. */
+  /**
+   * Sets the test for whether the incarnation with a given hash is ejected by the shared health
+   * data.
+   */
   void ejectedByAll(LongPredicate test) {
     ejectedByAll = test;
   }
 
-  /** Returns the services with the starts of their servers that are not gone. */
+  /** Returns the services with the hashes of their server incarnations that are not gone. */
   List<ServiceStarts> startsByService() {
     List<ServiceStarts> services = new ArrayList<>();
     byService.forEach(
@@ -116,7 +121,7 @@
     return services;
   }
 
-  /** Returns the entry of a start, or null if it is not known. */
+  /** Returns the entry of an incarnation by its hash, or null if it is not known. */
   @Nullable ServerEntry entryOfStart(long startHash) {
     for (Backend backend : backends.values()) {
       if (backend.startHash() == startHash) {
@@ -126,12 +131,12 @@
     return null;
   }
 
-  /** Says how long the servers of a service stay cold after a start. */
+  /** Sets the function that returns how long the servers of a service stay cold after a start. */
   void coldAfterStart(ToLongFunction<String> ms) {
     coldStartMs = ms;
   }
 
-  /** Notes that all servers of a data centre may have turned cold just now. */
+  /** Marks all servers of a data centre as possibly cold from now on. */
   void turnedCold(String dataCentre) {
     for (Backend backend : backends.values()) {
       if (backend.entry().dataCentre().equals(dataCentre)) {
@@ -147,14 +152,17 @@
     }
   }
 
-  /** What a server says of itself holds from now on: it is older, so it errs on the cold side. */
+  /**
+   * Counts the reported cold time from now. The report is older, so the server is treated as cold
+   * for slightly too long rather than too short.
+   */
   private void noteCold(Backend backend) {
     if (backend.entry().coldMs() > 0) {
       backend.coldUntil(loop.millis() + backend.entry().coldMs());
     }
   }
 
-  /** Returns how many servers are cold. */
+  /** Returns the number of cold servers. */
   public int coldCount() {
     int count = 0;
     for (Backend backend : backends.values()) {
@@ -170,17 +178,17 @@
   }
 
   /**
-   * Notes that the store answers again after trouble; call it after {@link #replaceAll} took what
-   * the store has now.
+   * Notes that the store answers again after an outage. Call this after {@link #replaceAll} applied
+   * the store's current content.
    */
   public void storeReturned() {
     trouble.returned();
   }
 
   /**
-   * Notes that the store came back from an older copy, before {@link #replaceAll} takes what it has
-   * now. A server that was gone is not back by that: without this, one that had left long ago got
-   * requests again.
+   * Notes that the store came back from an older copy. Call this before {@link #replaceAll} applies
+   * its current content. Such a copy does not bring a removed server back: without this rule, a
+   * server that had left long ago got requests again.
    */
   public void storeRewound() {
     trouble.rewound();
@@ -195,8 +203,9 @@
   }
 
   /**
-   * Takes a full list; servers that it lacks are gone. It does not say since when a server leaves:
-   * one that was not seen to begin is no last resort.
+   * Applies a full list; servers that are missing from it are removed. The list does not say since
+   * when a server has been leaving, so a leaving server whose announcement was not observed gets no
+   * last-resort requests.
    */
   public void replaceAll(Collection<ServerEntry> entries, long revision) {
     known = true;
@@ -217,12 +226,12 @@
     }
   }
 
-  /** Takes a new entry, or one that changed just now. */
+  /** Applies a new entry, or one that changed just now. */
   public void put(ServerEntry entry, long revision) {
     put(entry, revision, loop.millis());
   }
 
-  /** Takes a new or changed entry; {@code sinceMs} is when it may have changed at the earliest. */
+  /** Applies a new or changed entry; {@code sinceMs} is the earliest time of the change. */
   public void put(ServerEntry entry, long revision, long sinceMs) {
     take(entry, revision, sinceMs, false);
   }
@@ -231,11 +240,11 @@
     Backend backend = backends.get(entry.id());
     if (backend == null) {
       Backend joined = new Backend(entry, sinceMs);
-      Backend before = byAddress.get(entry.address());
+      Backend sameAddress = byAddress.get(entry.address());
       keep(joined);
       joined.listedAt(revision);
       if (!isListed) {
-        endAtAddress(before, joined, revision);
+        endAtAddress(sameAddress, joined, revision);
       }
       noteCold(joined);
       log.server("joined", entry, revision);
@@ -271,25 +280,26 @@
   }
 
   /**
-   * An address has one server: a later entry there proves that the one before is over, whose entry
-   * remains for some heartbeats after a crash. A list does not say which entry is the later one,
-   * and an older copy of the store may hold entries of servers that are long gone.
+   * Ends the earlier server at the address of a new one. An address has one server, so a later
+   * entry proves that the earlier server ended; after a crash its entry remains for some
+   * heartbeats. A list does not say which entry is later, and an older copy of the store may
+   * contain entries of servers that are long gone, so neither proves anything.
    */
-  private void endAtAddress(@Nullable Backend before, Backend joined, long revision) {
-    if (before == null || before == joined || before.isReplaced()) {
+  private void endAtAddress(@Nullable Backend earlier, Backend joined, long revision) {
+    if (earlier == null || earlier == joined || earlier.isReplaced()) {
       return;
     }
-    if (trouble.mayBeOlder() || before.listedRevision() >= revision) {
+    if (trouble.mayBeOlder() || earlier.listedRevision() >= revision) {
       return;
     }
-    before.replacedByAnother();
-    log.ejected(before.entry().id(), "a later server has its address");
-    startEnded.accept(before);
+    earlier.replacedByAnother();
+    log.ejected(earlier.entry().id(), "a later server has its address");
+    startEnded.accept(earlier);
   }
 
   /**
-   * Notes a start that a server told of by itself, before its entry does. A server that is gone is
-   * not back by this: its next entry says so.
+   * Notes an incarnation that a server reported before its entry did. This does not bring back a
+   * removed server; only its next entry does.
    */
   public void startSeen(String id, long startedMs) {
     Backend backend = backends.get(id);
@@ -298,9 +308,9 @@
     }
     ServerEntry next = backend.entry().startedAt(startedMs);
     if (next.isLaterStartThan(backend.entry())) {
-      Backend started = backend.startedAgain(next, loop.millis());
-      replace(backend, started);
-      mayBeCold(started);
+      Backend restarted = backend.startedAgain(next, loop.millis());
+      replace(backend, restarted);
+      mayBeCold(restarted);
       log.server("started again", next, 0);
     }
   }
@@ -323,18 +333,18 @@
     if (dropped != null) {
       byAddress.remove(entry.address(), dropped);
     }
-    Map<String, Backend> same = byService.get(entry.service());
-    if (same != null) {
-      same.remove(entry.id());
+    Map<String, Backend> sameService = byService.get(entry.service());
+    if (sameService != null) {
+      sameService.remove(entry.id());
     }
   }
 
-  /** Takes the removal of an entry just now. */
+  /** Applies the removal of an entry just now. */
   public void remove(String id, long revision) {
     remove(id, revision, loop.millis());
   }
 
-  /** Takes the removal of an entry; {@code sinceMs} is when it may have gone at the earliest. */
+  /** Applies the removal of an entry; {@code sinceMs} is the earliest time of the removal. */
   public void remove(String id, long revision, long sinceMs) {
     Backend backend = backends.get(id);
     if (backend == null || backend.isRemoved()) {
@@ -347,7 +357,7 @@
     }
   }
 
-  /** Forgets servers that have been gone for long; returns their ids. */
+  /** Forgets servers that were removed more than {@code afterMs} ago; returns their ids. */
   public List<String> forgetGone(long afterMs) {
     List<String> forgotten = new ArrayList<>();
     for (Backend backend : List.copyOf(backends.values())) {
@@ -360,7 +370,7 @@
     return forgotten;
   }
 
-  /** Returns the entries that are not gone. */
+  /** Returns the entries that are not removed. */
   public List<ServerEntry> entries() {
     List<ServerEntry> entries = new ArrayList<>();
     for (Backend backend : backends.values()) {
@@ -372,9 +382,9 @@
   }
 
   /**
-   * Returns what this VM has under way at each server, but for those where it has nothing.
+   * Returns this VM's load on each server, without the servers on which it has none.
    *
-   * @param limitedSends requests sent lately to the start of a server that has a limit
+   * @param limitedSends requests sent recently to an incarnation that has a limit
    */
   public List<Load> ownLoads(LongToIntFunction limitedSends) {
     List<Load> loads = new ArrayList<>();
@@ -400,15 +410,16 @@
   }
 
   /**
-   * Returns the servers of a service that may get a request now, the sound ones if there are.
+   * Returns the servers of a service that may get a request now: the healthy ones, or the rest if
+   * there are none.
    *
-   * @param eligible what else binds the request
-   * @param isOnlySend true if the request has no further send
+   * @param eligible further conditions of the request
+   * @param isOnlySend true if the request has no send left after this one
    */
   List<Backend> usable(String service, Predicate<Backend> eligible, boolean isOnlySend) {
     long now = loop.millis();
-    List<Backend> sound = new ArrayList<>();
-    List<Backend> doubtful = new ArrayList<>();
+    List<Backend> healthy = new ArrayList<>();
+    List<Backend> fallback = new ArrayList<>();
     for (Backend backend : byService.getOrDefault(service, Map.of()).values()) {
       if (backend.isReplaced()) {
         continue;
@@ -418,23 +429,26 @@
       if ((leaves && leavingFor >= lastResortMs) || !eligible.test(backend)) {
         continue;
       }
-      boolean isDoubtful =
+      boolean isFallback =
           leaves
               || backend.isEjected(now)
               || isEjectedByAll(backend)
               || restsElsewhere.test(backend.startHash())
               || backend.rest().isLeftToOthers(now, isOnlySend || backend.inFlight() > 0);
-      (isDoubtful ? doubtful : sound).add(backend);
+      (isFallback ? fallback : healthy).add(backend);
     }
-    return sound.isEmpty() ? doubtful : sound;
+    return healthy.isEmpty() ? fallback : healthy;
   }
 
-  /** Returns true if a server is ejected by what all VMs saw. */
+  /** Returns true if a server is ejected by the shared health data of all VMs. */
   boolean isEjectedByAll(Backend backend) {
     return ejectedByAll.test(backend.startHash());
   }
 
-  /** Returns the servers of a service that stay and are ejected by what all VMs saw. */
+  /**
+   * Returns the servers of a service that are not leaving and are ejected by the shared health
+   * data.
+   */
   List<Backend> ejected(String service, Predicate<Backend> eligible) {
     List<Backend> ejected = new ArrayList<>();
     for (Backend backend : byService.getOrDefault(service, Map.of()).values()) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerEnds.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerEnds.java
@@ -23,23 +23,30 @@
 import org.landingtrack.internal.quarantine.RequestDigest;
 
 /**
- * Finds out which servers ended under the requests that broke off at them, and charges those. A
- * connection also breaks by a reset, a spoilt answer or a cut; that a server ended is proved by its
- * address that refuses connections, by another start there, or by its entry that goes. A server
- * that leaves as planned charges nobody.
+ * Detects servers that crashed while requests were in flight there, and reports those requests to
+ * the {@link Quarantine}. A connection may also break because of a reset, a malformed answer or a
+ * cut connection. Proof that a server ended is that its address refuses connections, that another
+ * incarnation answers there, or that its entry disappears. A server that leaves as planned charges
+ * no request. Used on the event loop only.
  */
 final class ServerEnds {
-  /** An entry goes within four seconds of the end of its server; the rest is for the watch. */
+  /**
+   * How long a broken request waits for proof that its server ended. An entry disappears within
+   * four seconds of the end of its server; the rest covers delays of the store's watch.
+   */
   private static final long PROOF_MS = 10_000;
 
   /**
-   * A server that ends may take connections for a moment after it broke off others: looked at once
-   * only, two ends were not charged to their request, of some 45 in eight runs of a test over
-   * sockets.
+   * Delay before the second probe. A server that ends may accept connections for a moment after it
+   * broke off others: with one probe, two of about 45 ends were not charged to their request, in
+   * eight runs of a test over sockets.
    */
   private static final long LOOK_AGAIN_MS = 250;
 
-  /** Connects to a server after a request broke off there: one more than is mostly needed. */
+  /**
+   * Connection attempts to a server after a request broke off there; one more than is usually
+   * needed.
+   */
   private static final int LOOKS = 2;
 
   private final Quarantine quarantine;
@@ -47,7 +54,7 @@
   private final BackendTransport transport;
   private final Map<Backend, Broken> broken = new HashMap<>();
 
-  /** What broke off at a server. */
+  /** Requests that broke off at one server, and the number of probes made. */
   private static final class Broken {
     private final List<RequestDigest> requests = new ArrayList<>();
     private int looks;
@@ -60,64 +67,64 @@
   }
 
   /** Notes that a request broke off at a server, which may have ended under it. */
-  void brokeOff(RequestDigest request, Backend at) {
-    if (at.leavingForMs(loop.millis()) >= 0) {
+  void brokeOff(RequestDigest request, Backend server) {
+    if (server.leavingForMs(loop.millis()) >= 0) {
       return;
     }
-    if (at.hasEnded()) {
-      quarantine.charge(request, at.startHash());
+    if (server.hasEnded()) {
+      quarantine.charge(request, server.startHash());
       return;
     }
-    Broken known = broken.computeIfAbsent(at, server -> new Broken());
-    known.requests.add(request);
-    loop.schedule(PROOF_MS, () -> forget(request, at));
-    if (known.looks == 0) {
-      look(at, known);
+    Broken pending = broken.computeIfAbsent(server, key -> new Broken());
+    pending.requests.add(request);
+    loop.schedule(PROOF_MS, () -> forget(request, server));
+    if (pending.looks == 0) {
+      look(server, pending);
     }
   }
 
-  private void look(Backend at, Broken known) {
-    known.looks++;
-    transport.probe(at.entry().address(), refused -> looked(at, refused));
+  private void look(Backend server, Broken pending) {
+    pending.looks++;
+    transport.probe(server.entry().address(), refused -> looked(server, refused));
   }
 
-  private void looked(Backend at, boolean refused) {
-    Broken known = broken.get(at);
-    if (known == null) {
+  private void looked(Backend server, boolean refused) {
+    Broken pending = broken.get(server);
+    if (pending == null) {
       return;
     }
     if (refused) {
-      ended(at);
-    } else if (known.looks < LOOKS) {
-      loop.schedule(LOOK_AGAIN_MS, () -> lookAgain(at, known));
+      ended(server);
+    } else if (pending.looks < LOOKS) {
+      loop.schedule(LOOK_AGAIN_MS, () -> lookAgain(server, pending));
     } else {
-      known.looks = 0;
+      pending.looks = 0;
     }
   }
 
-  private void lookAgain(Backend at, Broken known) {
-    if (broken.get(at) == known) {
-      look(at, known);
+  private void lookAgain(Backend server, Broken pending) {
+    if (broken.get(server) == pending) {
+      look(server, pending);
     }
   }
 
-  /** Notes that a server ended; whatever broke off at it is charged with that. */
+  /** Notes that a server ended, and charges that to all requests that broke off there. */
   void ended(Backend server) {
     server.end();
-    Broken known = broken.remove(server);
-    if (known != null) {
-      known.requests.forEach(request -> quarantine.charge(request, server.startHash()));
+    Broken pending = broken.remove(server);
+    if (pending != null) {
+      pending.requests.forEach(request -> quarantine.charge(request, server.startHash()));
     }
   }
 
-  private void forget(RequestDigest request, Backend at) {
-    Broken known = broken.get(at);
-    if (known == null) {
+  private void forget(RequestDigest request, Backend server) {
+    Broken pending = broken.get(server);
+    if (pending == null) {
       return;
     }
-    known.requests.remove(request);
-    if (known.requests.isEmpty()) {
-      broken.remove(at);
+    pending.requests.remove(request);
+    if (pending.requests.isEmpty()) {
+      broken.remove(server);
     }
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerEntry.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerEntry.java
@@ -18,13 +18,15 @@
 import java.util.Map;
 
 /**
- * A backend server as it announces itself.
+ * A backend server as it announces itself in the platform's store.
  *
- * @param id names the server; another start of it may have the same id
+ * @param id names the server; a later incarnation of it may have the same id
+ * @param slots number of requests that the server runs at the same time
  * @param leaving true once it announced that it will end
- * @param coldMs how much longer it is slow, from its start
- * @param weightVersions the version of the weights of each model it has
- * @param startedMs when this start of the server began, by its time of day; 0 if it does not tell
+ * @param coldMs how much longer the server is slow after its start
+ * @param weightVersions the weights version of each model that it has
+ * @param startedMs when this incarnation started, by the server's wall clock; 0 if it does not
+ *     report it
  */
 public record ServerEntry(
     String id,
@@ -40,7 +42,7 @@
     weightVersions = Map.copyOf(weightVersions);
   }
 
-  /** Creates an entry of a server that does not tell when it started. */
+  /** Creates an entry of a server that does not report when it started. */
   public ServerEntry(
       String id,
       String service,
@@ -53,13 +55,16 @@
     this(id, service, address, dataCentre, slots, leaving, coldMs, weightVersions, 0);
   }
 
-  /** Returns this entry as that of another start. */
-  ServerEntry startedAt(long otherStartedMs) {
+  /** Returns this entry with another start time, as that of another incarnation. */
+  ServerEntry startedAt(long newStartedMs) {
     return new ServerEntry(
-        id, service, address, dataCentre, slots, leaving, coldMs, weightVersions, otherStartedMs);
+        id, service, address, dataCentre, slots, leaving, coldMs, weightVersions, newStartedMs);
   }
 
-  /** Returns true if the server is known to have started again since another of its entries. */
+  /**
+   * Returns true if this entry is known to be of a later incarnation than another entry of the
+   * server.
+   */
   boolean isLaterStartThan(ServerEntry other) {
     return startedMs > other.startedMs && other.startedMs > 0;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerLimit.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerLimit.java
@@ -18,14 +18,17 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** What one start of a backend server said of the requests that it takes from all VMs together. */
+/**
+ * The request limit that one incarnation of a backend server reported for all VMs together, and
+ * this VM's recent sends. Not thread-safe.
+ */
 final class ServerLimit {
-  /** A limit is shared out over so long at least. */
+  /** Minimum length of the window within which a limit is shared among the VMs. */
   static final long WINDOW_MS = 4_000;
 
   /**
-   * Counted for a limit of nothing: without a request every ten seconds nobody would hear of the
-   * limit's end.
+   * Lower bound of the shared rate, which matters for a limit of zero. Without one request in ten
+   * seconds, no VM would learn that the limit was lifted.
    */
   private static final double LEAST_PER_SECOND = 0.1;
 
@@ -37,7 +40,7 @@
   private final Deque<Long> sends = new ArrayDeque<>();
 
   /**
-   * Takes what the server said at a time, unless something later is known.
+   * Applies a limit that the server reported at a time, unless a later report is known.
    *
    * @return true if that changes what is known
    */
@@ -52,7 +55,7 @@
     return isNew;
   }
 
-  /** Takes that the server named no limit any more; returns true if it is known to have had one. */
+  /** Applies a report that there is no limit any more; returns true if one was known. */
   boolean ended(long atMs) {
     if (isOver || atMs < saidAtMs) {
       return false;
@@ -64,8 +67,8 @@
   }
 
   /**
-   * Returns true if an answer proves by naming no limit that there is none any more. Answers
-   * overtake each other: its request has to be sent after the limit had been heard of.
+   * Returns true if an answer without a limit proves that the limit was lifted. Answers may
+   * overtake each other, so its request must have been sent after this VM learned of the limit.
    */
   boolean isEndedByAnswerTo(long sentAtMs) {
     return !isOver && sentAtMs > saidAtMs;
@@ -75,29 +78,33 @@
     return isOver;
   }
 
-  /** Returns when the server said so, or this VM heard it at the earliest. */
+  /** Returns when the server reported this, or when this VM learned of it at the earliest. */
   long saidAtMs() {
     return saidAtMs;
   }
 
-  /** Returns the limit as the server named it. */
+  /** Returns the limit as the server reported it. */
   double named() {
     return perSecond;
   }
 
-  /** Returns the requests a second that all VMs together send. */
+  /** Returns the number of requests per second that all VMs together send. */
   double perSecond() {
     return Math.max(LEAST_PER_SECOND, perSecond);
   }
 
-  /** Returns how many requests all VMs together send within {@link #windowMs}: one at least. */
+  /**
+   * Returns the number of requests, at least one, that all VMs together send within {@link
+   * #windowMs}.
+   */
   int inWindow() {
     return (int) Math.ceil(perSecond() * WINDOW_MS / MS_PER_SECOND);
   }
 
   /**
-   * Returns the span over which sends are counted, for which the limit is a whole number: of a part
-   * of a request a whole one would be made in each span.
+   * Returns the window over which sends are counted. It is chosen so that the limit is a whole
+   * number of requests in it, because a fraction would be rounded up to a whole request in each
+   * window.
    */
   long windowMs() {
     return Math.round(inWindow() * MS_PER_SECOND / perSecond());
@@ -108,7 +115,7 @@
     sends.add(nowMs);
   }
 
-  /** Returns how many requests this VM sent within {@link #windowMs}. */
+  /** Returns the number of requests that this VM sent within the last {@link #windowMs}. */
   int sentLately(long nowMs) {
     while (!sends.isEmpty() && nowMs - sends.peek() >= windowMs()) {
       sends.remove();
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerLimits.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerLimits.java
@@ -25,24 +25,27 @@
 import org.landingtrack.internal.loads.LoadExchange;
 
 /**
- * The limits that backend servers named, by the hash of their start. VMs tell each other what they
- * heard in answers: one that hardly sends to a server any more would not hear of the end of its
- * limit. The later word counts, so that neither order nor repetition of news matters.
+ * Keeps the request limits that backend servers reported, by the hash of their incarnation. VMs
+ * exchange the limits that they read in answers, since a VM that hardly sends to a server any more
+ * would not learn that its limit was lifted. The later report wins, so neither order nor repetition
+ * of reports matters.
  *
- * <p>Without a limit that is known nothing is kept and nothing told. A limit costs some 20 bytes in
- * each message for {@link #TOLD_MS} after each answer that names it.
+ * <p>Without a known limit nothing is kept or sent. A limit costs about 20 bytes in each message
+ * for {@link #TOLD_MS} after each answer that reports it. Used on the event loop only.
  */
 public final class ServerLimits implements LoadExchange.Board<LimitNews> {
-  /** What was said is told to other VMs for so long; lost messages are made up for. */
+  /** How long a report is repeated to other VMs, to make up for lost messages. */
   static final long TOLD_MS = 2_000;
 
-  /** A limit of which nobody heard for so long is forgotten; the next answer names it again. */
+  /** How long a limit is kept without a new report; the next answer reports it again. */
   static final long FORGET_MS = 600_000;
 
-  /** Limits told of in one message: 1.3 kB. The latest come first. */
+  /** Bound of limits in one message, 1.3 kB; the latest reports come first. */
   static final int MAX_TOLD = 64;
 
-  /** Limits kept; more servers than that are not limited at once on any deployment planned for. */
+  /**
+   * Bound of kept limits. No deployment planned for has more servers with a limit at the same time.
+   */
   static final int MAX_KEPT = 4_096;
 
   private final EventLoop loop;
@@ -52,13 +55,13 @@
     this.loop = loop;
   }
 
-  /** Returns the limit of a server's start, or null if it has none. */
+  /** Returns the limit of a server incarnation, or null if it has none. */
   @Nullable ServerLimit find(long server) {
     ServerLimit limit = limits.isEmpty() ? null : limits.get(server);
     return limit == null || limit.isOver() ? null : limit;
   }
 
-  /** Returns how many servers have a limit. */
+  /** Returns the number of servers with a limit. */
   public int count() {
     int count = 0;
     for (ServerLimit limit : limits.values()) {
@@ -67,7 +70,7 @@
     return count;
   }
 
-  /** Takes a limit that an answer named just now; returns true if that is new. */
+  /** Applies a limit that an answer reported just now; returns true if it is new. */
   boolean named(long server, double perSecond) {
     return named(server, perSecond, loop.millis());
   }
@@ -85,16 +88,16 @@
   }
 
   /**
-   * Takes an answer that names no limit; returns true if one ended by it.
+   * Applies an answer that reports no limit; returns true if that lifted a limit.
    *
-   * @param sentAtMs when its request was sent
+   * @param sentAtMs when the request of the answer was sent
    */
   boolean notNamed(long server, long sentAtMs) {
     ServerLimit limit = find(server);
     return limit != null && limit.isEndedByAnswerTo(sentAtMs) && limit.ended(loop.millis());
   }
 
-  /** Returns how many requests this VM sent lately to a server with a limit. */
+  /** Returns the number of requests that this VM recently sent to a server with a limit. */
   int sentLately(long server) {
     ServerLimit limit = find(server);
     return limit == null ? 0 : limit.sentLately(loop.millis());
@@ -107,28 +110,28 @@
     }
     long now = loop.millis();
     limits.values().removeIf(limit -> now - limit.saidAtMs() > FORGET_MS);
-    List<LimitNews> told = new ArrayList<>();
+    List<LimitNews> reports = new ArrayList<>();
     limits.forEach(
         (server, limit) -> {
           long agoMs = now - limit.saidAtMs();
           if (agoMs <= TOLD_MS) {
             double perSecond = limit.isOver() ? LimitNews.NONE : limit.named();
-            told.add(new LimitNews(server, perSecond, agoMs));
+            reports.add(new LimitNews(server, perSecond, agoMs));
           }
         });
-    told.sort(Comparator.comparingLong(LimitNews::agoMs));
-    return told.size() <= MAX_TOLD ? told : told.subList(0, MAX_TOLD);
+    reports.sort(Comparator.comparingLong(LimitNews::agoMs));
+    return reports.size() <= MAX_TOLD ? reports : reports.subList(0, MAX_TOLD);
   }
 
   @Override
   public void heard(List<LimitNews> news) {
-    for (LimitNews each : news) {
-      long atMs = loop.millis() - each.agoMs();
-      if (!each.isOver()) {
-        named(each.server(), each.perSecond(), atMs);
+    for (LimitNews report : news) {
+      long atMs = loop.millis() - report.agoMs();
+      if (!report.isOver()) {
+        named(report.server(), report.perSecond(), atMs);
         continue;
       }
-      ServerLimit limit = limits.get(each.server());
+      ServerLimit limit = limits.get(report.server());
       if (limit != null) {
         limit.ended(atMs);
       }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerNotice.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerNotice.java
@@ -18,13 +18,13 @@
 import java.util.OptionalDouble;
 
 /**
- * What a backend server says of itself in an answer.
+ * Status that a backend server reports of itself in an answer.
  *
- * @param limitPerSecond the requests a second that it takes from all VMs together, if it names them
- * @param endsLimit true if the server ran the request and names no limit: it has none any more
+ * @param limitPerSecond requests per second that it accepts from all VMs together, if reported
+ * @param endsLimit true if the server ran the request and reports no limit: it has none any more
  * @param leaving true if it is about to end
- * @param restMs for how long it wants no request of this VM; 0 if it does not ask for that
- * @param unreadable true if some of it cannot be read, which then says nothing
+ * @param restMs how long it wants no request of this VM; 0 if it does not ask for that
+ * @param unreadable true if a part cannot be parsed; that part is ignored
  */
 public record ServerNotice(
     OptionalDouble limitPerSecond,
@@ -32,7 +32,7 @@
     boolean leaving,
     long restMs,
     boolean unreadable) {
-  /** Creates a notice that can be read. */
+  /** Creates a notice of which every part was parsed. */
   public ServerNotice(
       OptionalDouble limitPerSecond, boolean endsLimit, boolean leaving, long restMs) {
     this(limitPerSecond, endsLimit, leaving, restMs, false);
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerNotices.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerNotices.java
@@ -15,7 +15,7 @@
  */
 package org.landingtrack.internal.serving;
 
-/** Takes what backend servers say of themselves in their answers, and tells what is new of it. */
+/** Applies the notices that backend servers send in their answers, and logs what is new in them. */
 final class ServerNotices {
   private final EventLoop loop;
   private final DecisionLog log;
@@ -30,7 +30,7 @@
   }
 
   /**
-   * Takes a notice.
+   * Applies a notice.
    *
    * @param sentAtMs when the request was sent whose answer has the notice
    */
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerRest.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerRest.java
@@ -15,22 +15,28 @@
  */
 package org.landingtrack.internal.serving;
 
-/** For how long a backend server wants no request of this VM. */
+/**
+ * The backoff that a backend server asked this VM for: how long it wants no request from it. Not
+ * thread-safe.
+ */
 final class ServerRest {
-  /** A huge rest is as good as the end of the server; its next start knows nothing of it. */
+  /**
+   * Upper bound of a backoff. A longer one would be as good as the end of the server; its next
+   * incarnation starts without one.
+   */
   static final long MAX_MS = 3_600_000;
 
-  /** Whoever comes tries the server so long after its rest. */
+  /** How long after the backoff any request may be the trial that tests the server. */
   private static final long TRIAL_MS = 1_000;
 
   private long untilMs = Long.MIN_VALUE;
   private boolean unproven;
 
   /**
-   * Notes that the server asked for rest; of several such answers the one that lasts longest
-   * counts.
+   * Notes that the server asked this VM to back off. Of several such answers the one that lasts
+   * longest counts.
    *
-   * @return true if it was not resting
+   * @return true if no backoff was active
    */
   boolean asked(long restMs, long nowMs) {
     boolean isNew = !isOn(nowMs);
@@ -43,24 +49,24 @@
     return nowMs < untilMs;
   }
 
-  /** Notes an answer of the server that is a success. */
+  /** Notes a successful answer of the server. */
   void proved(long nowMs) {
     unproven &= isOn(nowMs);
   }
 
   /**
-   * Returns true if the rest is over, no answer has shown yet that the server takes requests, and
-   * another request should try it. One that would be lost by being turned away does so only where
-   * no other came for a while.
+   * Returns true if the backoff is over, no answer has shown yet that the server accepts requests,
+   * and the trial should be left to another request. A request that would be lost by a refusal
+   * becomes the trial only if no other came for {@link #TRIAL_MS}.
    *
-   * @param mayNotTry true for a request that has no further send, or where one tries the server now
+   * @param avoidsTrial true if the request has no send left after this one, or a trial is in flight
    */
-  boolean isLeftToOthers(long nowMs, boolean mayNotTry) {
+  boolean isLeftToOthers(long nowMs, boolean avoidsTrial) {
     boolean isOnTrial = unproven && !isOn(nowMs);
-    return isOnTrial && mayNotTry && nowMs < untilMs + TRIAL_MS;
+    return isOnTrial && avoidsTrial && nowMs < untilMs + TRIAL_MS;
   }
 
-  /** Returns how much longer the server rests. */
+  /** Returns how much longer the server is to be left alone, in milliseconds. */
   long leftMs(long nowMs) {
     return isOn(nowMs) ? untilMs - nowMs : 0;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerRests.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerRests.java
@@ -24,41 +24,45 @@
 import org.landingtrack.internal.loads.RestNews;
 
 /**
- * Rests that backend servers asked any VM for, by the hash of their start. A rest binds the VM that
- * was asked; the others pass such a server over while they have another one, or each of them would
- * lose a caller to find out. Nothing is kept and told where no server asks for rest.
+ * Keeps the backoffs that backend servers asked any VM for, by the hash of their incarnation. A
+ * backoff binds the VM that was asked. The other VMs skip such a server while another one is
+ * available, because otherwise each of them would lose a request to find out. Nothing is kept or
+ * sent if no server asks for a backoff. Used on the event loop only.
  */
 public final class ServerRests implements LoadExchange.Board<RestNews> {
-  /** A rest is told to other VMs for so long; lost messages are made up for. */
+  /** How long a backoff is repeated to other VMs, to make up for lost messages. */
   static final long TOLD_MS = 1_000;
 
-  /** Rests told of in one message: 1.1 kB. */
+  /** Bound of backoffs in one message, 1.1 kB. */
   static final int MAX_TOLD = 64;
 
-  /** The VM that was asked tries the server first, and the others hear of what becomes of it. */
+  /**
+   * Extra delay of the other VMs. The VM that was asked tries the server first, and the others
+   * learn the result.
+   */
   private static final long OTHERS_LATER_MS = 300;
 
-  /** The others try it one after the other. */
+  /** Range over which the other VMs spread their trials, so that they come one after the other. */
   private static final long SPREAD_MS = 700;
 
   private final EventLoop loop;
   private final long salt;
   private final Map<Long, Asked> rests = new HashMap<>();
 
-  /** A rest that a server asked some VM for. */
+  /** A backoff that a server asked some VM for; {@code here} is true if it was this VM. */
   private record Asked(long untilMs, long atMs, boolean here) {}
 
   /**
-   * Creates an empty list.
+   * Creates an empty registry.
    *
-   * @param salt differs from VM to VM
+   * @param salt differs between VMs
    */
   ServerRests(EventLoop loop, long salt) {
     this.loop = loop;
     this.salt = salt;
   }
 
-  /** Notes that a server asked this VM for rest. */
+  /** Notes that a server asked this VM to back off. */
   void asked(long server, long restMs) {
     long now = loop.millis();
     note(server, new Asked(now + Math.min(restMs, ServerRest.MAX_MS), now, true));
@@ -66,11 +70,14 @@
 
   private void note(long server, Asked asked) {
     if (rests.size() < ServerLimits.MAX_KEPT || rests.containsKey(server)) {
-      rests.merge(server, asked, (a, b) -> b.untilMs > a.untilMs ? b : a);
+      rests.merge(server, asked, (known, added) -> added.untilMs > known.untilMs ? added : known);
     }
   }
 
-  /** Returns true if a server wants rest of other VMs, or did until a moment ago. */
+  /**
+   * Returns true if a server asked other VMs to back off and that is not over, including a short
+   * delay.
+   */
   boolean isElsewhere(long server) {
     Asked asked = rests.isEmpty() ? null : rests.get(server);
     if (asked == null || asked.here) {
@@ -80,7 +87,7 @@
     return loop.millis() < asked.untilMs + OTHERS_LATER_MS + spreadMs;
   }
 
-  /** Returns how many servers want rest of this VM or of others. */
+  /** Returns the number of servers that asked this VM or others to back off. */
   public int count() {
     int count = 0;
     for (Asked asked : rests.values()) {
@@ -96,23 +103,23 @@
     }
     long now = loop.millis();
     rests.values().removeIf(each -> now > each.untilMs + OTHERS_LATER_MS + SPREAD_MS);
-    List<RestNews> told = new ArrayList<>();
+    List<RestNews> reports = new ArrayList<>();
     rests.forEach(
         (server, asked) -> {
           long agoMs = now - asked.atMs;
-          if (agoMs <= TOLD_MS && now < asked.untilMs && told.size() < MAX_TOLD) {
-            told.add(new RestNews(server, asked.untilMs - now, agoMs));
+          if (agoMs <= TOLD_MS && now < asked.untilMs && reports.size() < MAX_TOLD) {
+            reports.add(new RestNews(server, asked.untilMs - now, agoMs));
           }
         });
-    return told;
+    return reports;
   }
 
   @Override
   public void heard(List<RestNews> news) {
     long now = loop.millis();
-    for (RestNews each : news) {
-      long leftMs = Math.min(each.leftMs(), ServerRest.MAX_MS);
-      note(each.server(), new Asked(now + leftMs, now - each.agoMs(), false));
+    for (RestNews report : news) {
+      long leftMs = Math.min(report.leftMs(), ServerRest.MAX_MS);
+      note(report.server(), new Asked(now + leftMs, now - report.agoMs(), false));
     }
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServersClock.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServersClock.java
@@ -18,13 +18,16 @@
 import java.util.OptionalLong;
 
 /**
- * The clock that all backend servers share, as this VM knows it from what they tell. The way of an
- * answer makes a telling late, so the one that was least late counts. It is never taken to be
- * further than it is, but may be known late: by how long the first answer lay in a socket while
- * this VM stood still. Runs on the event loop.
+ * Estimates the clock that all backend servers share, from the times in their answers. Network and
+ * queueing delays only make an observed time late, so the least delayed observation counts. The
+ * estimate is never ahead of the real clock, but may be behind it by the time that the first answer
+ * lay in a socket while this VM was suspended. Not thread-safe; used on the event loop only.
  */
 public final class ServersClock {
-  /** A difference that is never confirmed shrinks by one part in so many, for clocks that drift. */
+  /**
+   * An offset that is not confirmed shrinks by 1/1000 of the elapsed time, to allow for clock
+   * drift.
+   */
   private static final long DRIFT_PARTS = 1_000;
 
   private boolean known;
@@ -32,33 +35,33 @@
   private long sinceMs;
 
   /**
-   * Notes a time that a server told.
+   * Notes a time that a server reported.
    *
-   * @return by how much the servers' clock is further than was known: what was found to have been
-   *     told at a time of the event loop was told so much earlier
+   * @return by how much the estimate moved forward, in milliseconds. An event loop time that was
+   *     derived from a server time before this call is too late by this amount.
    */
-  public long told(long serversMs, long nowMs) {
-    long said = serversMs - nowMs;
+  public long told(long serverMs, long nowMs) {
+    long observedOffsetMs = serverMs - nowMs;
     long driftMs = (nowMs - sinceMs) / DRIFT_PARTS;
-    if (known && said < aheadMs - driftMs) {
+    if (known && observedOffsetMs < aheadMs - driftMs) {
       return 0;
     }
-    long furtherMs = known ? Math.max(0, said - aheadMs) : 0;
+    long advanceMs = known ? Math.max(0, observedOffsetMs - aheadMs) : 0;
     known = true;
-    aheadMs = said;
+    aheadMs = observedOffsetMs;
     sinceMs = nowMs;
-    return furtherMs;
+    return advanceMs;
   }
 
-  /** Returns the servers' time at a time of the event loop; empty before any was told. */
+  /** Returns the servers' time at a time of the event loop; empty before the first observation. */
   public OptionalLong at(long loopMs) {
     return known && loopMs != Long.MAX_VALUE
         ? OptionalLong.of(loopMs + aheadMs)
         : OptionalLong.empty();
   }
 
-  /** Returns the time of the event loop at a time of the servers, but no later than now. */
-  long loopMs(long serversMs, long nowMs) {
-    return known ? Math.min(nowMs, serversMs - aheadMs) : nowMs;
+  /** Returns the event loop time at a time of the servers, but no later than now. */
+  long loopMs(long serverMs, long nowMs) {
+    return known ? Math.min(nowMs, serverMs - aheadMs) : nowMs;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/StoreTrouble.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/StoreTrouble.java
@@ -18,11 +18,15 @@
 import org.landingtrack.internal.base.Ticker;
 
 /**
- * What trouble of the platform's store says of its list of servers: entries may have lapsed while
- * it was away, and an older copy of it holds servers that are long gone. Not thread-safe.
+ * Decides how far the store's list of servers can be trusted around outages: entries may have
+ * expired while the store was away, and an older copy of the store may list servers that are long
+ * gone. Not thread-safe.
  */
 final class StoreTrouble {
-  /** What is gone, and returns with an older copy of the store, lapses there within this time. */
+  /**
+   * Time within which entries of ended servers that came back with an older copy of the store
+   * expire.
+   */
   private static final long RETURNED_MS = 5_000;
 
   private final Ticker ticker;
@@ -31,18 +35,21 @@
   private long backAtMs;
   private long rewoundAtMs = Long.MIN_VALUE / 2;
 
-  /** Entries that went from then on may have lapsed, until the store has been back for a while. */
+  /**
+   * Entries that were removed from this time on may only have expired, until the store has been
+   * back for {@link #lapsedMs}.
+   */
   private long doubtSinceMs;
 
   /**
-   * Creates the account of a store without trouble.
+   * Creates the state of a store without an outage.
    *
-   * @param lapsedMs how long after the store's return a missing entry may still come back
+   * @param graceMs how long after the store's recovery a missing entry may still come back
    */
-  StoreTrouble(Ticker ticker, long lapsedMs) {
+  StoreTrouble(Ticker ticker, long graceMs) {
     this.ticker = ticker;
-    this.lapsedMs = lapsedMs;
-    this.backAtMs = -lapsedMs;
+    this.lapsedMs = graceMs;
+    this.backAtMs = -graceMs;
   }
 
   /** Notes that all entries were read. */
@@ -50,9 +57,7 @@
     listedAtMs = ticker.millis();
   }
 
-  /**
-   * Notes that the store answers again. Failures that follow each other closely are one trouble.
-   */
+  /** Notes that the store answers again. Failures in close succession count as one outage. */
   void returned() {
     long now = ticker.millis();
     if (now - backAtMs >= lapsedMs) {
@@ -66,12 +71,12 @@
     rewoundAtMs = ticker.millis();
   }
 
-  /** Returns true while entries of an older copy may be those of servers that are gone. */
+  /** Returns true while listed entries may be outdated ones of an older copy. */
   boolean mayBeOlder() {
     return ticker.millis() - rewoundAtMs < RETURNED_MS;
   }
 
-  /** Returns true if an entry may only have lapsed that was heard to be gone at a time. */
+  /** Returns true if an entry whose removal was learned at a time may only have expired. */
   boolean mayHaveLapsed(long heardGoneAtMs) {
     return heardGoneAtMs >= doubtSinceMs && ticker.millis() - backAtMs < lapsedMs;
   }
