--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ColdServersTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ColdServersTest.java
@@ -25,7 +25,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A fleet under a load that uses every share, before one server that stays cold. */
+/** Tests a fleet that uses up every share of one server that stays cold. */
 public final class ColdServersTest {
   private static final double OVERSHOOT = 1.5;
   private static final double TOLERANCE = 5;
@@ -46,7 +46,7 @@
     return backend;
   }
 
-  /** One VM with a clock of its own; each has its own view of the server. */
+  /** A VM with its own clock and its own view of the server. */
   private static final class Sender {
     private final ManualLoop loop = new ManualLoop();
     private final Backend backend = cold();
@@ -68,7 +68,7 @@
     }
   }
 
-  /** VMs, and requests a second that the server bears. */
+  /** Number of VMs, and the requests per second that the server can take. */
   @DataProvider
   public Object[][] fleets() {
     return new Object[][] {
@@ -110,24 +110,27 @@
   @Test
   public void aServerThatIsNotColdIsNotBounded() {
     ManualLoop loop = new ManualLoop();
-    ColdServers shares = new ColdServers(loop, () -> 1_000, 1, 0, 7);
+    ColdServers limiter = new ColdServers(loop, () -> 1_000, 1, 0, 7);
     Backend warm = cold();
     loop.advance(COLD_MS);
-    assertTrue(shares.mayTake(warm, service(1)));
-    assertTrue(shares.mayTake(cold(), service(0)), "a service whose servers are never cold");
-    assertEquals(shares.passedOver(), 0);
+    assertTrue(limiter.mayTake(warm, service(1)));
+    assertTrue(limiter.mayTake(cold(), service(0)), "a service whose servers are never cold");
+    assertEquals(limiter.passedOver(), 0);
   }
 
-  /** The wait is over when the server is warm, or when its share has come to all that wait. */
+  /**
+   * The wait ends when the server is warm, or when enough shares have come for all waiting
+   * requests.
+   */
   @Test
   public void theWaitIsForTheShareOrForTheEndOfTheCold() {
     ManualLoop loop = new ManualLoop();
-    ColdServers shares = new ColdServers(loop, () -> 10, OVERSHOOT, TOLERANCE, 7);
+    ColdServers limiter = new ColdServers(loop, () -> 10, OVERSHOOT, TOLERANCE, 7);
     Backend backend = cold();
-    double rate = shares.fleetRate(service(11)) / 10;
-    assertEquals(shares.waitMs(List.of(backend), service(11), 0), (long) (1_000 / rate));
-    assertEquals(shares.waitMs(List.of(backend), service(11), 4), (long) (5_000 / rate));
+    double rate = limiter.fleetRate(service(11)) / 10;
+    assertEquals(limiter.waitMs(List.of(backend), service(11), 0), (long) (1_000 / rate));
+    assertEquals(limiter.waitMs(List.of(backend), service(11), 4), (long) (5_000 / rate));
     loop.advance(COLD_MS - loop.millis() - 100);
-    assertEquals(shares.waitMs(List.of(backend), service(11), 4), 100);
+    assertEquals(limiter.waitMs(List.of(backend), service(11), 4), 100);
   }
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/EndedStartsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/EndedStartsTest.java
@@ -27,15 +27,15 @@
 import org.testng.annotations.Test;
 
 /**
- * What one VM finds out of a server that ended, the others need not find out by a request each.
+ * Tests that VMs learn from each other that a server ended, without a failed request on each VM.
  *
- * <p>What users saw: a third of the engines crashed and were back at their addresses a second later
- * under other ids. For seconds requests ended as refused, each after two answers of engines that
- * were not meant: 1,944 of 9,992 sends were in vain.
+ * <p>Failure: a third of the engines crashed and came back at their addresses a second later under
+ * other ids. For seconds requests were refused after two answers each from engines other than the
+ * chosen ones: 1,944 of 9,992 sends were wasted.
  *
- * <p>Cause: entries of engines that crash remain until three heartbeats are missed. That another
- * start has the address each of 74 VMs found out by itself, at each engine, by a send of a request
- * that is allowed two. Evidence: the first request that was lost so got two answers of status 421
+ * <p>Cause: entries of crashed engines remain until three heartbeats are missed. Each of 74 VMs
+ * found out for itself, at each engine and by a send of a request that is allowed two, that another
+ * incarnation had the address. The first request that was lost so got two answers of status 421
  * within 40 ms, and nothing else.
  */
 public final class EndedStartsTest {
@@ -55,9 +55,9 @@
 
   private void tell() {
     List<FleetTallies> counted = finder.state.tallies();
-    var told = news.next(Kind.OWN, List.of(), List.of(), List.of(), counted);
-    if (other.peerLoads.heard(told)) {
-      FleetTallies.heard(told, other.state.tallies());
+    var message = news.next(Kind.OWN, List.of(), List.of(), List.of(), counted);
+    if (other.peerLoads.heard(message)) {
+      FleetTallies.heard(message, other.state.tallies());
     }
   }
 
@@ -78,7 +78,7 @@
     }
   }
 
-  /** The entry may be of a start that the finder does not know yet. */
+  /** The entry may be of a later incarnation than the one that the finder knows. */
   @Test
   public void aLaterStartOfTheServerIsUsed() {
     String ended = findEnded();
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/EvacuationsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/EvacuationsTest.java
@@ -25,7 +25,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Evacuated data centres, and servers that are cold afterwards, as one VM decides. */
+/** Tests evacuated data centres, and servers that are cold afterwards, as one VM decides. */
 public final class EvacuationsTest {
   private static final String HERE = "dc-1";
   private static final String THERE = "dc-2";
@@ -73,7 +73,7 @@
     assertEquals(dataCentreOfLast(), THERE);
   }
 
-  /** The retry of a request that failed there is a send like any other. */
+  /** The retry of a request that failed there is routed like any other send. */
   @Test
   public void aRetryGoesElsewhere() {
     world.serve("/safe/x");
@@ -93,21 +93,25 @@
     assertEquals(world.transport.sends.size(), 0);
   }
 
-  /** Servers may have turned cold shortly before: each VM begins with its share. */
+  /**
+   * Servers may have turned cold shortly before, so each VM begins with its share of their
+   * capacity.
+   */
   @Test
   public void whenItIsTakenBackTheServersAreCold() {
     world.state.evacuations().begin(HERE);
     world.state.evacuations().begin(THERE);
     world.state.evacuations().end(HERE);
     RecordingSink first = world.serve("/safe/x");
-    assertEquals(world.transport.sends.size(), 0, "this VM knows no others: a tiny share");
+    assertEquals(
+        world.transport.sends.size(), 0, "this VM knows no other VMs, so its share is tiny");
     assertEquals(first.seen.toString(), "");
     world.loop.advance(COLD_START_MS + 100);
     assertEquals(world.transport.sends.size(), 1);
     assertEquals(dataCentreOfLast(), HERE);
   }
 
-  /** What cannot come in time is not let wait. */
+  /** A request that cannot be served in time is not queued. */
   @Test
   public void aRequestThatColdServersCannotHaveInTimeIsRefusedAtOnce() {
     for (String id : List.of("p1", "p2")) {
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerAddressTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerAddressTest.java
@@ -23,7 +23,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A later server at an address proves that the one before is over. */
+/** Tests that a later server at an address proves that the earlier one ended. */
 public final class ServerAddressTest {
   private ServingWorld world = new ServingWorld();
 
@@ -52,7 +52,10 @@
     }
   }
 
-  /** Its connections may be silent for good, so that what it has would wait for its deadline. */
+  /**
+   * The connections of the earlier server may stay silent, so that its requests would wait for
+   * their deadline.
+   */
   @Test
   public void whatTheServerBeforeHasEndsAsAfterACrash() {
     RecordingSink caller = world.serve("/chat/x");
@@ -70,7 +73,7 @@
     assertEquals(server(), "old");
   }
 
-  /** An entry that is listed together with another is not known to be the later one. */
+  /** An entry in the same list as another is not known to be the later one. */
   @Test
   public void aListProvesNothing() {
     world.book.replaceAll(
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerBookTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerBookTest.java
@@ -25,7 +25,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Which servers may get a request after entries changed, went, or were missed for a while. */
+/**
+ * Tests which servers may get a request after entries changed, disappeared, or were missed for a
+ * while.
+ */
 public final class ServerBookTest {
   private static final long LAST_RESORT_MS = 1_400;
   private static final long LAPSED_MS = 2_500;
@@ -58,18 +61,22 @@
     return ids;
   }
 
-  /** The store answers again: first with all that it has, then the feed says so. */
+  /**
+   * Simulates the store's recovery: its full content is applied first, then the recovery is
+   * reported.
+   */
   private void regained(ServerEntry... entries) {
     book.replaceAll(List.of(entries), 9);
     book.storeReturned();
   }
 
   /**
-   * A server left without a word: its entry went, and the VM heard of it at once. Two seconds later
-   * the store cut the VM's waiting watch, as it may at any time, and the VM read all again. It took
-   * that for the store's return from trouble, after which a missing entry may only have lapsed, and
-   * sent the server requests like any other for 2.5 s more: up to 4.5 s after the entry went, where
-   * 2 s are allowed. Only what went missing while the VM heard nothing is in doubt.
+   * Guards against requests to a server that left without announcement. Its entry disappeared and
+   * the VM saw that at once. Two seconds later the store closed the VM's long-poll watch, as it may
+   * at any time, and the VM read the full list. It took that for the end of an outage, after which
+   * a missing entry may only have expired, and treated the server as usable for 2.5 s more: up to
+   * 4.5 s after the removal, where 2 s are allowed. Only entries that went missing while the VM
+   * heard nothing may have expired.
    */
   @Test
   public void aCutWatchDoesNotBringBackAServerThatWasGoneBefore() {
@@ -79,7 +86,7 @@
     assertEquals(usable(), List.of("e2"));
     regained();
     loop.advance(LAPSED_MS);
-    assertEquals(usable(), List.of(), "an entry that went long ago");
+    assertEquals(usable(), List.of(), "an entry that was removed long ago");
   }
 
   @Test
@@ -102,7 +109,7 @@
     assertEquals(usable(), List.of("e2"));
   }
 
-  /** A store that is just back may fail some calls more; entries that lapsed stay in doubt. */
+  /** A store that has just recovered may fail some more calls; expired entries stay in doubt. */
   @Test
   public void aStoreThatFailsAgainAtOnceLeavesTheDoubt() {
     loop.advance(8_000);
@@ -124,10 +131,11 @@
   }
 
   /**
-   * All servers of a service began to leave while a VM heard nothing of the store: it stood still,
-   * or its connection had gone silent, which shows after three to five seconds. Then it read all
-   * anew, took the servers as leaving since now, and gave them requests as a last resort for 1.4 s
-   * more, where 2 s after their entries' change are allowed. A list does not say since when.
+   * Guards against treating a list as a fresh change. All servers of a service began to leave while
+   * a VM heard nothing from the store: it was suspended, or its connection had gone silent, which
+   * is detected after three to five seconds. It then read the full list, took the servers as
+   * leaving since that moment, and gave them last-resort requests for 1.4 s more, where 2 s after
+   * the change of their entries are allowed. A list does not say since when a server leaves.
    */
   @Test
   public void aListDoesNotSayThatAServerBeganToLeaveJustNow() {
@@ -137,7 +145,10 @@
     assertEquals(usable(), List.of());
   }
 
-  /** Whoever knows that a change was made long before it was heard of says so. */
+  /**
+   * A caller that knows that a change is older than its report passes the earliest time of the
+   * change.
+   */
   @Test
   public void aChangeThatWasHeardOfLateIsALastResortForLess() {
     book.put(ServingWorld.leaving(engine("e1")), 2, loop.millis() - 1_000);
@@ -159,7 +170,10 @@
     assertEquals(usable(), List.of());
   }
 
-  /** The server's own word stands against the store's, and its start before is another server. */
+  /**
+   * The server's own announcement outweighs what the store says of it. An earlier incarnation
+   * counts as a different server.
+   */
   @Test
   public void aServerThatSaysItselfThatItLeavesIsNotBack() {
     Backend backend = book.find("e1");
@@ -176,10 +190,10 @@
     book.forgetGone(20_000);
     book.storeRewound();
     book.replaceAll(List.of(engine("e1"), engine("e2")), 5);
-    assertEquals(usable(), List.of("e2"), "back with an older copy");
+    assertEquals(usable(), List.of("e2"), "listed again by an older copy");
   }
 
-  /** What its requests ended of is no riddle. */
+  /** Requests that fail at a server that announced its end need no further explanation. */
   @Test
   public void aServerThatSaidThatItLeavesIsAnnounced() {
     List<Backend> unannounced = new ArrayList<>();
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerLeavingTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerLeavingTest.java
@@ -22,17 +22,17 @@
 import org.testng.annotations.Test;
 
 /**
- * Servers that say in their answers that they leave get nothing more, whatever the platform's store
- * says of them.
+ * Tests that servers which announce in an answer that they leave get no more requests, whatever the
+ * platform's store says of them.
  *
- * <p>What users saw: a server had said in an answer that it leaves, and got a request 3.4 s later
- * from the VM that had passed that answer on, where 2 s are allowed; another VM sent one after 6.6
- * s. The platform's store acknowledged nothing meanwhile, so the server's entry still said that it
- * is ready.
+ * <p>Failure: a server announced in an answer that it leaves, and got a request 3.4 s later from
+ * the VM that had passed on that answer, where 2 s are allowed; another VM sent one after 6.6 s.
+ * The platform's store acknowledged nothing meanwhile, so the server's entry still said that it was
+ * ready.
  *
- * <p>Cause: that a server leaves was believed of its entry only; the word in its answers went to
- * the caller and was read by nobody. Evidence: the VMs chose it by routine among 13 candidates, and
- * none of their lines tells that it leaves.
+ * <p>Cause: only the entry was consulted. The announcement in the answer went to the caller and was
+ * not read by the VM. The VMs chose the server regularly among 13 candidates, and no log line said
+ * that it was leaving.
  */
 public final class ServerLeavingTest {
   private static final int VMS = 7;
@@ -42,7 +42,7 @@
   private static final long END_MS = 15_000;
   private static final int SEEDS = 10;
 
-  /** The others have room for all. */
+  /** Minimum share of requests served; the other servers have capacity for all. */
   private static final double LEAST_SERVED = 0.99;
 
   private static BackpressureFleet fleet(int seed) {
@@ -64,7 +64,10 @@
     }
   }
 
-  /** Lists that are older than the server's word, and entries that lapse, bring it not back. */
+  /**
+   * Lists older than the server's announcement, and entries that expire, do not make it usable
+   * again.
+   */
   @Test
   public void nothingThatTheStoreSaysBringsItBack() {
     for (int seed = 0; seed < SEEDS; seed++) {
@@ -79,7 +82,7 @@
     }
   }
 
-  /** It has a limit as well, and says so before. */
+  /** The server also reports a limit before it leaves. */
   @Test
   public void aLimitBeforeItChangesNothing() {
     for (int seed = 0; seed < SEEDS; seed++) {
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerRestartTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerRestartTest.java
@@ -33,8 +33,8 @@
 import org.testng.annotations.Test;
 
 /**
- * A server that starts again under its id holds and knows nothing of before: whatever is believed
- * of the earlier start falls, and nothing that is told late of it counts.
+ * Tests that a server that restarts under its id keeps nothing of the earlier incarnation, and that
+ * late reports about that incarnation are ignored.
  */
 public final class ServerRestartTest {
   private static final long FIRST = 1_700_000_000_000L;
@@ -77,7 +77,7 @@
     return new Object[][] {{"entry"}, {"list"}, {"report"}};
   }
 
-  /** The later start is read first in an entry, a list or the server's own report. */
+  /** Reports the later incarnation first by an entry, by a list, or by the server itself. */
   private void startAgain(String way) {
     switch (way) {
       case "entry" -> world.book.put(engine(SECOND, 1), 3);
@@ -110,10 +110,14 @@
     assertTrue(!after.isEjected(now) && !after.isReplaced() && !after.refusedLately(now));
     assertEquals(usable("engines"), List.of("e1"));
     before.finished(700);
-    assertEquals(after.inFlight(), 0, "what ends at the start before is not taken off");
+    assertEquals(
+        after.inFlight(), 0, "a request that ends at the earlier incarnation is not subtracted");
   }
 
-  /** How quickly its machine reads is not the start's; how late its answers came is. */
+  /**
+   * The prefill speed belongs to the machine and stays; the delay of answers belongs to the
+   * incarnation.
+   */
   @Test
   public void theSpeedOfTheMachineIsKept() {
     EngineTiming timing = backend("e1").timing();
@@ -128,7 +132,9 @@
     assertEquals(backend("e1").timing().lagMs(now + 100), 0.0);
   }
 
-  /** An entry that an earlier start wrote may be stored after one of the later start. */
+  /**
+   * An entry written by the earlier incarnation may be stored after one of the later incarnation.
+   */
   @Test
   public void whatIsToldLateOfTheStartBeforeChangesNothing() {
     startAgain("entry");
@@ -149,7 +155,7 @@
     long home = backend("e1").idHash();
     startAgain("entry");
     assertEquals(world.peerLoads.running(backend("e1").startHash()), 0);
-    assertEquals(backend("e1").idHash(), home, "prompts keep their home");
+    assertEquals(backend("e1").idHash(), home, "prompts keep their preferred server");
   }
 
   @DataProvider
@@ -161,8 +167,8 @@
   }
 
   /**
-   * The connections of a server that lost power are silent for good: what was sent to it would have
-   * waited for its deadline.
+   * The connections of a server that lost power stay silent, so that its requests would have waited
+   * for their deadline.
    */
   @Test(dataProvider = "underWay")
   public void whatIsUnderWayEndsAsAfterACrash(String path, String seen, boolean again) {
@@ -186,7 +192,7 @@
     assertEquals(sink.seen.toString(), "answer 200 hello");
   }
 
-  /** A server that was gone is back by an entry of its later start, not by a late report. */
+  /** A removed server comes back by an entry of its later incarnation, not by a late report. */
   @Test
   public void aServerThatIsGoneIsBackByItsEntryOnly() {
     world.book.remove("e1", 3);
@@ -198,7 +204,8 @@
   }
 
   /**
-   * Servers of platforms that do not tell of starts are one start for as long as they have an id.
+   * On platforms that do not report starts, a server counts as one incarnation as long as it has
+   * its id.
    */
   @Test
   public void anEntryWithoutAStartIsNoOtherStart() {
@@ -208,7 +215,7 @@
     assertEquals(known.entry().weightVersions(), Map.of(ServingWorld.MODEL, 1L));
   }
 
-  /** Servers are found by their service, which an entry may change. */
+  /** Servers are indexed by service, which an entry may change. */
   @Test
   public void aServerMovesBetweenServicesAndIsForgottenThere() {
     ServerEntry moved =
