--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Eligibility.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Eligibility.java
@@ -87,7 +87,7 @@
   }
 
   /** Returns true if a request may run, or its cached state may be stored, in a data centre. */
-  boolean isHome(String dataCentre, Homes homes) {
-    return homes.allow(regions.get(dataCentre));
+  boolean isHome(String dataCentre, Homes allowed) {
+    return allowed.allow(regions.get(dataCentre));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerRests.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerRests.java
@@ -68,9 +68,9 @@
     note(server, new Asked(now + Math.min(restMs, ServerRest.MAX_MS), now, true));
   }
 
-  private void note(long server, Asked asked) {
+  private void note(long server, Asked backoff) {
     if (rests.size() < ServerLimits.MAX_KEPT || rests.containsKey(server)) {
-      rests.merge(server, asked, (known, added) -> added.untilMs > known.untilMs ? added : known);
+      rests.merge(server, backoff, (known, added) -> added.untilMs > known.untilMs ? added : known);
     }
   }
 
@@ -79,19 +79,19 @@
    * delay.
    */
   boolean isElsewhere(long server) {
-    Asked asked = rests.isEmpty() ? null : rests.get(server);
-    if (asked == null || asked.here) {
+    Asked backoff = rests.isEmpty() ? null : rests.get(server);
+    if (backoff == null || backoff.here) {
       return false;
     }
     long spreadMs = Math.floorMod(Hashes.weight(salt, server), SPREAD_MS);
-    return loop.millis() < asked.untilMs + OTHERS_LATER_MS + spreadMs;
+    return loop.millis() < backoff.untilMs + OTHERS_LATER_MS + spreadMs;
   }
 
   /** Returns the number of servers that asked this VM or others to back off. */
   public int count() {
     int count = 0;
-    for (Asked asked : rests.values()) {
-      count += loop.millis() < asked.untilMs ? 1 : 0;
+    for (Asked backoff : rests.values()) {
+      count += loop.millis() < backoff.untilMs ? 1 : 0;
     }
     return count;
   }
@@ -105,10 +105,10 @@
     rests.values().removeIf(each -> now > each.untilMs + OTHERS_LATER_MS + SPREAD_MS);
     List<RestNews> reports = new ArrayList<>();
     rests.forEach(
-        (server, asked) -> {
-          long agoMs = now - asked.atMs;
-          if (agoMs <= TOLD_MS && now < asked.untilMs && reports.size() < MAX_TOLD) {
-            reports.add(new RestNews(server, asked.untilMs - now, agoMs));
+        (server, backoff) -> {
+          long agoMs = now - backoff.atMs;
+          if (agoMs <= TOLD_MS && now < backoff.untilMs && reports.size() < MAX_TOLD) {
+            reports.add(new RestNews(server, backoff.untilMs - now, agoMs));
           }
         });
     return reports;
