--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/AdmissionLevel.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/AdmissionLevel.java
@@ -18,76 +18,98 @@
 import java.util.Arrays;
 
 /**
- * Which part of a service's requests of each rank is let in. Answers a demand above what the
- * servers can do, seen by many VMs through news that are some hundred milliseconds old: all come to
- * the same level, since they go by the same sums, and what is let in follows what begins. Not
- * thread-safe; without I/O.
+ * Computes the share of a service's requests that is admitted, for each priority rank.
+ *
+ * <p>Handles demand above the capacity of the backend servers while many VMs admit requests and
+ * know each other's load only with a delay of some hundred milliseconds. All VMs do the same
+ * calculation on the same fleet-wide sums and so reach the same shares, and the admitted rate
+ * follows the rate at which servers start requests. Not thread-safe; does no I/O.
  */
 final class AdmissionLevel {
   /**
-   * What waits may need this part of the target until it begins: the answer itself needs the rest,
-   * and with a shorter line servers would lack work between two rounds of news.
+   * Target queue wait as a share of the service's latency target. The answer itself needs the rest
+   * of the target; with a shorter queue, servers would run out of work between two rounds of load
+   * reports.
    */
   private static final double LINE_SHARE = 0.25;
 
   private static final double LEAST_LINE_MS = 50;
 
-  /** Refused only if so much of the servers' room is taken: else they can take more. */
+  /**
+   * Requests are refused only if at least this share of the servers' capacity is in use. Below it,
+   * the servers can take more.
+   */
   private static final double LEAST_TAKEN = 0.5;
 
-  /** With a line of this part of the target nothing more is let in: it would be late. */
+  /**
+   * No more requests are admitted at a queue wait of this share of the latency target, because they
+   * would be answered late.
+   */
   private static final double LONGEST_LINE_SHARE = 0.6;
 
   /**
-   * A line that is too short is put right over this time: three times the age of what is known,
-   * with less of which the line would swing.
+   * Time over which a queue below its target length is refilled: three times the age of the load
+   * reports. With a shorter time the queue length would oscillate.
    */
   private static final double SETTLE_MS = 900;
 
-  /** A rank's line counts as having at least this part of what the servers do. */
+  /**
+   * Each rank's target queue length assumes that more urgent ranks leave it at least this share of
+   * the servers' capacity.
+   */
   private static final double LEAST_FREE = 0.1;
 
-  /** Late ones wait behind all others, so they have a turn only if the line is shorter. */
+  /**
+   * Share of the usual target queue length that is used while late requests wait. Late requests are
+   * queued behind all others, so they are served only if the queue before them is shorter.
+   */
   private static final double GOAL_SHARE_WITH_LATE = 0.25;
 
-  /** Servers that lack work are given twice as much within about this time. */
+  /** The estimated capacity of servers that lack work doubles within about this time. */
   private static final double GROW_MS = 1_000;
 
   private static final long LONGEST_STEP_MS = 200;
 
-  /** Servers are given so many times at most what they are known to begin. */
+  /**
+   * Upper bound of the estimated capacity, as a multiple of the rate at which servers are seen to
+   * start requests.
+   */
   private static final double MOST_UNTRIED = 2;
 
-  /** Late ones get the room to be answered within this time, well before most deadlines. */
+  /** Late requests get the capacity to be answered within this time, well before most deadlines. */
   private static final double SETTLE_LATE_MS = 4_000;
 
-  /** For so long all must fit before a shortage is over: longer than news take. */
+  /**
+   * All demand must fit for this time before an overload ends. Longer than load reports take to
+   * arrive.
+   */
   private static final long CALM_MS = 300;
 
-  /** A shortage is over with a line of this part of the one that began it. */
+  /** An overload ends once the queue wait is below this share of the wait that starts one. */
   private static final double CALM_LINE_SHARE = 0.5;
 
   /**
-   * Each rank gets at least this part of what all requests get: callers of the least urgent kind
-   * are owed some service too.
+   * Each rank is admitted at least at this share of the average over all requests, so that the
+   * least urgent rank is not starved.
    */
   private static final double FLOOR = 0.35;
 
   private static final int FLOOR_STEPS = 10;
 
-  /** Of a rank's room, returning callers have this part before new ones. */
+  /** Share of a rank's capacity that client retries get before first attempts. */
   private static final double RETURN_SHARE = 0.125;
 
   /**
-   * What new ones leave goes to returning callers, less what new ones may be more in the next
-   * moment: ten requests in {@link Demand#ARRIVED_MS} differ by that much at times.
+   * Client retries get the capacity that first attempts leave, less a reserve of this share of the
+   * rate of first attempts. The reserve covers their growth in the next moment: ten requests in
+   * {@link Demand#ARRIVED_MS} vary by that much at times.
    */
   private static final double GROWTH_OF_NEW = 0.6;
 
   private static final double MS_A_SECOND = 1_000;
   private static final double PERCENT = 100;
 
-  /** Parts that differ by less are the same, but for rounding. */
+  /** Shares above this value count as 1, to allow for rounding. */
   private static final double ALMOST_ALL = 1 - 1e-9;
 
   private double lineMs;
@@ -95,7 +117,9 @@
   private final double[] fresh = new double[Demand.RANKS];
   private final double[] returning = new double[Demand.RANKS];
 
-  /** What waits of a rank and more urgent ones, in milliseconds of what the servers can do. */
+  /**
+   * Queue wait of a rank together with all more urgent ones, in milliseconds of server capacity.
+   */
   private final double[] lines = new double[Demand.RANKS];
 
   private final double[] waits = new double[Demand.RANKS];
@@ -108,7 +132,7 @@
   private boolean isGrowing;
   private long fitsSinceMs = Long.MAX_VALUE;
 
-  /** Creates a level that lets all in. */
+  /** Creates a level that admits all requests. */
   AdmissionLevel() {
     lift();
   }
@@ -123,21 +147,23 @@
   }
 
   /**
-   * Takes what is known now.
+   * Recomputes the admitted shares from the current demand.
    *
-   * @param taken the part of the servers' room that is taken
-   * @param targetMs within which the service's most urgent answers are in time
+   * @param demand the fleet-wide demand
+   * @param utilization the share of the servers' capacity that is in use
+   * @param targetMs the latency target of the service's most urgent requests
+   * @param nowMs the current time
    */
-  void update(Demand demand, double taken, long targetMs, long nowMs) {
+  void update(Demand demand, double utilization, long targetMs, long nowMs) {
     lineMs = Math.max(LEAST_LINE_MS, targetMs * LINE_SHARE);
     longestLineMs = Math.max(2 * lineMs, targetMs * LONGEST_LINE_SHARE);
-    takenShare = taken;
-    double line = 0;
+    takenShare = utilization;
+    double queued = 0;
     for (int rank = 0; rank < Demand.RANKS; rank++) {
-      line += demand.waiting(rank);
-      lines[rank] = line;
+      queued += demand.waiting(rank);
+      lines[rank] = queued;
     }
-    measure(demand.begunPerMs(), line, nowMs);
+    measure(demand.begunPerMs(), queued, nowMs);
     if (capacity <= 0) {
       lift();
       return;
@@ -146,16 +172,16 @@
       lines[rank] /= capacity;
     }
     latePerMs = demand.late() / SETTLE_LATE_MS;
-    double allMs = lines[Demand.RANKS - 1];
-    boolean isTaken = taken >= LEAST_TAKEN;
-    isShort |= isTaken && allMs > lineMs;
-    takenAtMs = isTaken ? nowMs : takenAtMs;
-    boolean hasRoom = !isTaken && (line <= 0 || nowMs - takenAtMs >= CALM_MS);
-    if (!isShort || hasRoom) {
+    double totalWaitMs = lines[Demand.RANKS - 1];
+    boolean isBusy = utilization >= LEAST_TAKEN;
+    isShort |= isBusy && totalWaitMs > lineMs;
+    takenAtMs = isBusy ? nowMs : takenAtMs;
+    boolean hasSpareCapacity = !isBusy && (queued <= 0 || nowMs - takenAtMs >= CALM_MS);
+    if (!isShort || hasSpareCapacity) {
       lift();
       return;
     }
-    boolean fits = divide(demand) && allMs < lineMs * CALM_LINE_SHARE;
+    boolean fits = divide(demand) && totalWaitMs < lineMs * CALM_LINE_SHARE;
     fitsSinceMs = fits ? Math.min(fitsSinceMs, nowMs) : Long.MAX_VALUE;
     if (fits && nowMs - fitsSinceMs >= CALM_MS) {
       lift();
@@ -163,77 +189,84 @@
   }
 
   /**
-   * What begins tells what servers can do only while they have enough to do; else they can do more,
-   * and how much shows when they get it.
+   * Estimates the servers' capacity. The rate at which servers start requests shows their capacity
+   * only while they have enough work. Otherwise they can do more, so the estimate is raised step by
+   * step until it shows how much.
    */
-  private void measure(double begunPerMs, double line, long nowMs) {
-    long sinceMs = Math.min(LONGEST_STEP_MS, nowMs - measuredAtMs);
+  private void measure(double begunPerMs, double queued, long nowMs) {
+    long elapsedMs = Math.min(LONGEST_STEP_MS, nowMs - measuredAtMs);
     measuredAtMs = nowMs;
-    boolean lackWork = isShort && line < begunPerMs * lineMs * CALM_LINE_SHARE;
-    double grown = Math.min(capacity * (1 + sinceMs / GROW_MS), begunPerMs * MOST_UNTRIED);
-    capacity = lackWork ? Math.max(begunPerMs, grown) : begunPerMs;
+    boolean lacksWork = isShort && queued < begunPerMs * lineMs * CALM_LINE_SHARE;
+    double grown = Math.min(capacity * (1 + elapsedMs / GROW_MS), begunPerMs * MOST_UNTRIED);
+    capacity = lacksWork ? Math.max(begunPerMs, grown) : begunPerMs;
   }
 
   /**
-   * Gives each rank its part, the most urgent first; returns true if all get all. The floor depends
-   * on what all get with it, so it is drawn closer step by step.
+   * Computes the shares of all ranks, the most urgent first; returns true if all requests fit. The
+   * floor depends on the average share, which depends on the floor, so it is found by bisection.
    */
   private boolean divide(Demand demand) {
-    double least = 0;
-    double most = FLOOR;
+    double low = 0;
+    double high = FLOOR;
     boolean fits = true;
     for (int i = 0; i < FLOOR_STEPS; i++) {
-      double floor = (least + most) / 2;
+      double floor = (low + high) / 2;
       fits = divide(demand, floor);
       if (floor < FLOOR * average(demand)) {
-        least = floor;
+        low = floor;
       } else {
-        most = floor;
+        high = floor;
       }
     }
     return fits;
   }
 
   private boolean divide(Demand demand, double floor) {
-    double comes = 0;
-    double comesNew = 0;
+    double arriving = 0;
+    double arrivingFirstAttempts = 0;
     for (int rank = 0; rank < Demand.RANKS; rank++) {
-      comesNew += demand.freshPerMs(rank);
-      comes += demand.freshPerMs(rank) + demand.returningPerMs(rank);
+      arrivingFirstAttempts += demand.freshPerMs(rank);
+      arriving += demand.freshPerMs(rank) + demand.returningPerMs(rank);
     }
-    isGrowing = comes > capacity;
-    double given = 0;
-    double before = 1;
-    double lessUrgent = comes;
+    isGrowing = arriving > capacity;
+    double admitted = 0;
+    double moreUrgentShare = 1;
+    double lessUrgent = arriving;
     for (int rank = 0; rank < Demand.RANKS; rank++) {
-      double isNew = demand.freshPerMs(rank);
-      double returns = demand.returningPerMs(rank);
-      lessUrgent -= isNew + returns;
-      double room = Math.max(0, budget(rank, given) - given - floor * lessUrgent);
-      returning[rank] = part(room * RETURN_SHARE, returns, floor);
-      fresh[rank] = Math.min(before, part(room - returns * returning[rank], isNew, floor));
-      before = fresh[rank];
-      given += isNew * fresh[rank] + returns * returning[rank];
+      double firstAttempts = demand.freshPerMs(rank);
+      double retries = demand.returningPerMs(rank);
+      lessUrgent -= firstAttempts + retries;
+      double available = Math.max(0, budget(rank, admitted) - admitted - floor * lessUrgent);
+      returning[rank] = part(available * RETURN_SHARE, retries, floor);
+      fresh[rank] =
+          Math.min(
+              moreUrgentShare, part(available - retries * returning[rank], firstAttempts, floor));
+      moreUrgentShare = fresh[rank];
+      admitted += firstAttempts * fresh[rank] + retries * returning[rank];
     }
-    double left = budget(Demand.RANKS - 1, given) - given - GROWTH_OF_NEW * comesNew;
-    return addReturns(demand, before >= 1 ? left : 0) && before >= 1;
+    double remaining =
+        budget(Demand.RANKS - 1, admitted) - admitted - GROWTH_OF_NEW * arrivingFirstAttempts;
+    return addReturns(demand, moreUrgentShare >= 1 ? remaining : 0) && moreUrgentShare >= 1;
   }
 
-  /** Gives what new ones leave to returning callers; returns true if that is enough for them. */
-  private boolean addReturns(Demand demand, double room) {
-    double left = room;
+  /**
+   * Gives the capacity that first attempts leave to client retries; returns true if all retries
+   * fit.
+   */
+  private boolean addReturns(Demand demand, double available) {
+    double remaining = available;
     boolean fits = true;
     for (int rank = 0; rank < Demand.RANKS; rank++) {
-      double returns = demand.returningPerMs(rank);
-      double more = Math.max(0, Math.min(left, returns * (1 - returning[rank])));
-      left -= more;
-      returning[rank] = returns <= 0 ? returning[rank] : returning[rank] + more / returns;
-      fits &= returns <= 0 || returning[rank] > ALMOST_ALL;
+      double retries = demand.returningPerMs(rank);
+      double added = Math.max(0, Math.min(remaining, retries * (1 - returning[rank])));
+      remaining -= added;
+      returning[rank] = retries <= 0 ? returning[rank] : returning[rank] + added / retries;
+      fits &= retries <= 0 || returning[rank] > ALMOST_ALL;
     }
     return fits;
   }
 
-  /** Returns the part of all requests that is let in, whatever their size. */
+  /** Returns the share of all requests that is admitted, by number and not by size. */
   private double average(Demand demand) {
     double all = 0;
     double admitted = 0;
@@ -245,48 +278,58 @@
   }
 
   /**
-   * Returns what may be let in of a rank and more urgent ones: what begins, and what sets the line
-   * right. More urgent ones that come later go before it, so its line has only what they leave.
+   * Returns the rate at which a rank and all more urgent ones may be admitted: the servers'
+   * capacity, corrected by what brings the queue to its target length. More urgent requests that
+   * arrive later are served first, so a rank's queue is served only from the capacity that they
+   * leave.
    *
-   * @param given what is let in of more urgent ones
+   * @param admitted the rate that is admitted of more urgent ranks
    */
-  private double budget(int rank, double given) {
-    double free = Math.max(LEAST_FREE, 1 - given / capacity);
-    double goalMs = lineMs * free * (latePerMs > 0 ? GOAL_SHARE_WITH_LATE : 1);
-    double missingMs = goalMs - lines[rank];
-    double part = missingMs / (missingMs > 0 ? SETTLE_MS : longestLineMs * free - goalMs);
-    waits[rank] = lines[rank] / free;
-    return Math.max(0, capacity * (1 + part) - latePerMs);
+  private double budget(int rank, double admitted) {
+    double freeShare = Math.max(LEAST_FREE, 1 - admitted / capacity);
+    double targetQueueMs = lineMs * freeShare * (latePerMs > 0 ? GOAL_SHARE_WITH_LATE : 1);
+    double missingMs = targetQueueMs - lines[rank];
+    double correction =
+        missingMs / (missingMs > 0 ? SETTLE_MS : longestLineMs * freeShare - targetQueueMs);
+    waits[rank] = lines[rank] / freeShare;
+    return Math.max(0, capacity * (1 + correction) - latePerMs);
   }
 
-  private static double part(double room, double comes, double floor) {
-    if (comes <= 0) {
-      return room > 0 ? 1 : floor;
+  private static double part(double available, double arriving, double floor) {
+    if (arriving <= 0) {
+      return available > 0 ? 1 : floor;
     }
-    return Math.min(1, Math.max(floor, room / comes));
+    return Math.min(1, Math.max(floor, available / arriving));
   }
 
-  /** Returns true while some are refused. */
+  /** Returns true while the service is overloaded, so that requests may be refused. */
   boolean isShort() {
     return isShort;
   }
 
-  /** Returns true while more comes than begins. */
+  /** Returns true while requests arrive faster than servers can start them. */
   boolean isGrowing() {
     return isGrowing;
   }
 
-  /** Returns the part of a rank's requests that is let in. */
-  double part(int rank, boolean isReturn) {
-    return isReturn ? returning[rank] : fresh[rank];
+  /**
+   * Returns the admitted share of a rank's requests, from 0 to 1.
+   *
+   * @param isRetry true for the share of client retries, false for that of first attempts
+   */
+  double part(int rank, boolean isRetry) {
+    return isRetry ? returning[rank] : fresh[rank];
   }
 
-  /** Returns the time until a request of a rank that comes now is begun, in a shortage. */
+  /**
+   * Returns how long a request of a rank that arrives now waits until a server starts it; 0 without
+   * overload.
+   */
   double waitMs(int rank) {
     return waits[rank];
   }
 
-  /** Returns the figures that the level follows, for the log. */
+  /** Returns the measured values that the shares are computed from, for the log. */
   String why() {
     return String.format(
         "wait %d ms, %d%% of the room taken, %d begun a second",
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/Applicant.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/Applicant.java
@@ -16,14 +16,16 @@
 package org.landingtrack.internal.overload;
 
 /**
- * A request that asks to be let in.
+ * A request on which admission control decides.
  *
- * @param id of this try of the caller
- * @param team its team, or an empty text
- * @param rank 0 is the most urgent
- * @param size what it needs of a server: tokens of memory, or the same for each request
- * @param deadlineMs how long its caller says that it waits; 0 if it does not say
- * @param leftMs until it is given up here
+ * @param id the identifier of this attempt of the caller
+ * @param service the name of the service that is called
+ * @param route the name of the route that the request matches
+ * @param team the caller's team, or an empty text
+ * @param rank the priority rank; 0 is the most urgent
+ * @param size the cost at a server: tokens of KV cache memory, or the same value for each request
+ * @param deadlineMs how long the caller says that it waits; 0 if it does not say
+ * @param leftMs the time until this VM gives the request up
  */
 public record Applicant(
     String id,
@@ -34,6 +36,6 @@
     long size,
     long deadlineMs,
     long leftMs) {
-  /** Less urgent ranks than this one are not told apart. */
+  /** The least urgent rank that is told apart; higher ranks are treated like this one. */
   public static final int LAST_RANK = Demand.RANKS - 1;
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/Appointments.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/Appointments.java
@@ -16,44 +16,46 @@
 package org.landingtrack.internal.overload;
 
 /**
- * When refused callers are to come back. Answers the load of callers that are refused together and
- * would return together. Pure.
+ * Chooses the retry delay of refused callers, so that callers that were refused together do not
+ * return together. Stateless.
  */
 final class Appointments {
-  /** Callers heed a time of up to this part of what they have left. */
+  /** Callers are expected to heed a retry delay of up to this share of their remaining time. */
   private static final double HEEDED_SHARE = 0.33;
 
-  /** The most urgent ones are told this part of the longest time while no end is in sight. */
+  /** While the overload grows, the most urgent rank is told this share of the longest delay. */
   private static final double URGENT_SHARE = 0.6;
 
   /**
-   * Callers of one rank come spread over this part of their time: what a burst of some seconds left
-   * over needs more room than new ones leave in a moment.
+   * The delays of one rank are spread over this share of their length. The backlog of a burst of
+   * some seconds needs more capacity than first attempts leave in a moment.
    */
   private static final double SPREAD = 0.5;
 
-  /** Room that is expected sooner is not certain, since news are up to so old. */
+  /** Shorter waits are not counted on, since load reports are up to this old. */
   private static final long LEAST_MS = 300;
 
   private Appointments() {}
 
   /**
-   * Returns after how long a caller should come back.
+   * Returns the delay after which a refused caller should retry, in milliseconds.
    *
-   * @param waitMs until it would begin if it waited
-   * @param isGrowing true if more comes than begins, so that no end is in sight
-   * @param leftMs what the caller has left
-   * @param spread from 0 to 1, differs from caller to caller
+   * @param rank the priority rank of the request
+   * @param waitMs the time until the request would start if it waited
+   * @param isGrowing true if requests arrive faster than servers start them, so that the end of the
+   *     overload cannot be foreseen
+   * @param leftMs the caller's remaining time
+   * @param spread the caller's position within the spread, from 0 to 1
    */
   static long retryAfterMs(int rank, double waitMs, boolean isGrowing, long leftMs, double spread) {
-    double latestMs = leftMs * HEEDED_SHARE;
-    double later = (double) rank / (Demand.RANKS - 1);
-    double untilRoomMs =
+    double maxDelayMs = leftMs * HEEDED_SHARE;
+    double rankFraction = (double) rank / (Demand.RANKS - 1);
+    double baseDelayMs =
         isGrowing
-            ? latestMs * (URGENT_SHARE + (1 - URGENT_SHARE) * later)
-            : (LEAST_MS + waitMs) * (1 + later);
-    double drawnMs = untilRoomMs * (isGrowing ? 1 - SPREAD * spread : 1 + SPREAD * spread);
-    double leastMs = Math.min(latestMs, ReturningCallers.LEAST_SPENT_MS);
-    return Math.max(1, (long) Math.min(latestMs, Math.max(leastMs, drawnMs)));
+            ? maxDelayMs * (URGENT_SHARE + (1 - URGENT_SHARE) * rankFraction)
+            : (LEAST_MS + waitMs) * (1 + rankFraction);
+    double spreadDelayMs = baseDelayMs * (isGrowing ? 1 - SPREAD * spread : 1 + SPREAD * spread);
+    double minDelayMs = Math.min(maxDelayMs, ReturningCallers.LEAST_SPENT_MS);
+    return Math.max(1, (long) Math.min(maxDelayMs, Math.max(minDelayMs, spreadDelayMs)));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/Demand.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/Demand.java
@@ -18,20 +18,30 @@
 import org.landingtrack.internal.loads.Tally;
 
 /**
- * What one VM or several see of a service's demand. Amounts are what requests need: tokens of an
- * engine's memory, or the same for each at other servers. Immutable.
+ * The demand for a service as seen by one VM or by several together. Amounts are the cost of
+ * requests: tokens of an engine's KV cache memory, or the same value for each request at other
+ * servers. Immutable.
  */
 final class Demand {
-  /** Ranks that are told apart; less urgent ones count as the last. */
+  /** Number of priority ranks that are told apart; less urgent ones count as the last. */
   static final int RANKS = 4;
 
-  /** What came is summed over this time: about as old as the news are that tell it. */
+  /**
+   * Window over which arrivals are summed: about as long as the age of the load reports that carry
+   * them.
+   */
   static final long ARRIVED_MS = 300;
 
-  /** What began is summed over this time, in which even large requests are several. */
+  /**
+   * Window over which started requests are summed: long enough to contain several, even if they are
+   * large.
+   */
   static final long BEGUN_MS = 1_000;
 
-  /** What teams asked for is summed over this time: a team's requests are few. */
+  /**
+   * Window over which the demand of teams is summed: longer, since a single team sends few
+   * requests.
+   */
   static final long TEAMS_MS = 2_000;
 
   private static final int TOTAL = 0;
@@ -49,7 +59,7 @@
     this.amounts = amounts;
   }
 
-  /** Creates the demand that one VM sees. */
+  /** Creates the demand that one VM sees. Arrays have one element for each rank. */
   Demand(
       long teamsTotal,
       long begun,
@@ -68,7 +78,7 @@
     amounts[LATE] = late;
   }
 
-  /** Returns this demand with that of other VMs. */
+  /** Returns the sum of this demand and that of other VMs. */
   Demand plus(Tally others) {
     long[] sum = amounts.clone();
     for (int i = 0; i < SIZE; i++) {
@@ -77,42 +87,47 @@
     return new Demand(sum);
   }
 
-  /** Returns what is told to other VMs; the total of all teams comes first, as the largest. */
+  /**
+   * Returns the counts for the load reports to other VMs. The total of all teams comes first, as it
+   * is the largest count.
+   */
   Tally tally(long key) {
     return new Tally(key, amounts);
   }
 
-  /** Returns what came in {@link #TEAMS_MS}. */
+  /** Returns the cost of all requests that arrived in {@link #TEAMS_MS}. */
   long teamsTotal() {
     return amounts[TOTAL];
   }
 
-  /** Returns what the servers began in a millisecond. */
+  /** Returns the cost of the requests that servers start in a millisecond. */
   double begunPerMs() {
     return (double) amounts[BEGUN] / BEGUN_MS;
   }
 
-  /** Returns what waits and can still be in time. */
+  /** Returns the cost of queued requests of a rank that can still meet their latency target. */
   long waiting(int rank) {
     return amounts[WAITING + rank];
   }
 
-  /** Returns what came anew in a millisecond. */
+  /** Returns the cost of the first attempts of a rank that arrive in a millisecond. */
   double freshPerMs(int rank) {
     return (double) amounts[FRESH + rank] / ARRIVED_MS;
   }
 
-  /** Returns what came back in a millisecond, after a refusal. */
+  /**
+   * Returns the cost of the client retries of a rank that arrive in a millisecond after a refusal.
+   */
   double returningPerMs(int rank) {
     return (double) amounts[RETURNING + rank] / ARRIVED_MS;
   }
 
-  /** Returns how many requests came lately, whatever their size. */
+  /** Returns how many requests of a rank arrived in {@link #ARRIVED_MS}, whatever their size. */
   long requests(int rank) {
     return amounts[REQUESTS + rank];
   }
 
-  /** Returns what waits and can no longer be in time. */
+  /** Returns the cost of queued requests that can no longer meet their latency target. */
   long late() {
     return amounts[LATE];
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/DemandMeter.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/DemandMeter.java
@@ -20,9 +20,9 @@
 import java.util.function.IntToLongFunction;
 import org.landingtrack.internal.base.SlidingCount;
 
-/** Counts what one VM sees of a service's demand. Not thread-safe. */
+/** Measures the demand for a service that one VM sees, in sliding windows. Not thread-safe. */
 final class DemandMeter {
-  /** Each sum is exact to this part of its time. */
+  /** Slots of each sliding window; a sum is exact to one slot. */
   private static final int SLOTS = 10;
 
   private final SlidingCount[] fresh = counts();
@@ -44,8 +44,8 @@
     return counts;
   }
 
-  void came(String team, int rank, boolean isReturn, long size, long nowMs) {
-    (isReturn ? returning : fresh)[rank].add(size, nowMs);
+  void came(String team, int rank, boolean isRetry, long size, long nowMs) {
+    (isRetry ? returning : fresh)[rank].add(size, nowMs);
     requests[rank].add(1, nowMs);
     total.add(size, nowMs);
     if (!team.isEmpty()) {
@@ -58,32 +58,36 @@
   }
 
   /**
-   * Returns what was counted.
+   * Returns the demand at a time.
    *
-   * @param waiting says what waits of a rank
-   * @param late what waits and can no longer be in time
+   * @param waiting returns the cost of queued requests of a rank
+   * @param late the cost of queued requests that can no longer meet their latency target
+   * @param nowMs the current time
    */
   Demand demand(IntToLongFunction waiting, long late, long nowMs) {
-    long[] waits = new long[Demand.RANKS];
-    long[] isNew = new long[Demand.RANKS];
-    long[] returns = new long[Demand.RANKS];
-    long[] counts = new long[Demand.RANKS];
+    long[] queued = new long[Demand.RANKS];
+    long[] firstAttempts = new long[Demand.RANKS];
+    long[] retries = new long[Demand.RANKS];
+    long[] arrivals = new long[Demand.RANKS];
     for (int rank = 0; rank < Demand.RANKS; rank++) {
-      waits[rank] = waiting.applyAsLong(rank);
-      isNew[rank] = fresh[rank].atMost(Demand.ARRIVED_MS, nowMs);
-      returns[rank] = returning[rank].atMost(Demand.ARRIVED_MS, nowMs);
-      counts[rank] = requests[rank].atMost(Demand.ARRIVED_MS, nowMs);
+      queued[rank] = waiting.applyAsLong(rank);
+      firstAttempts[rank] = fresh[rank].atMost(Demand.ARRIVED_MS, nowMs);
+      retries[rank] = returning[rank].atMost(Demand.ARRIVED_MS, nowMs);
+      arrivals[rank] = requests[rank].atMost(Demand.ARRIVED_MS, nowMs);
     }
-    long asked = total.atMost(Demand.TEAMS_MS, nowMs);
-    long begins = begun.atMost(Demand.BEGUN_MS, nowMs);
-    return new Demand(asked, begins, waits, isNew, returns, counts, late);
+    long arrived = total.atMost(Demand.TEAMS_MS, nowMs);
+    long started = begun.atMost(Demand.BEGUN_MS, nowMs);
+    return new Demand(arrived, started, queued, firstAttempts, retries, arrivals, late);
   }
 
-  /** Returns what each team asked for lately; teams that did not are forgotten. */
+  /**
+   * Returns the cost of each team's requests in {@link Demand#TEAMS_MS}. Teams without requests in
+   * that window are removed.
+   */
   Map<String, Long> teams(long nowMs) {
-    Map<String, Long> asked = new HashMap<>();
+    Map<String, Long> byTeam = new HashMap<>();
     teams.values().removeIf(count -> count.atMost(Demand.TEAMS_MS, nowMs) == 0);
-    teams.forEach((team, count) -> asked.put(team, count.atMost(Demand.TEAMS_MS, nowMs)));
-    return asked;
+    teams.forEach((team, count) -> byTeam.put(team, count.atMost(Demand.TEAMS_MS, nowMs)));
+    return byTeam;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/FleetAdmission.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/FleetAdmission.java
@@ -28,17 +28,21 @@
 import org.landingtrack.internal.overload.Verdict.Cause;
 
 /**
- * Lets requests in or refuses them as they come, alike at all VMs. Each VM counts what it sees and
- * hears the sums of the others; one that hears nothing goes by its own. Not thread-safe.
+ * Admits requests or refuses them when they arrive, by the same rule at all VMs. Each VM measures
+ * its own demand and receives the sums of the other VMs; a VM that receives none decides by its own
+ * measurements. Not thread-safe.
  */
 public final class FleetAdmission {
-  /** Others tell in each round; what this VM sees itself is taken in between as well. */
+  /**
+   * Time between two updates of the admitted shares. Other VMs report once in each round of load
+   * reports; half of that takes this VM's own measurements in between as well.
+   */
   private static final long UPDATE_MS = PeerLoads.ROUND_MS / 2;
 
-  /** In a shortage, another part is told of so often at most. */
+  /** Shortest time between two notifications about a changed share during an overload. */
   private static final long TELL_EVERY_MS = 1_000;
 
-  /** And if it differs by so much. */
+  /** Smallest change of the share that is notified during an overload. */
   private static final double TELL_CHANGE = 0.1;
 
   private final Ticker ticker;
@@ -50,24 +54,30 @@
   private final Map<String, Told> told = new HashMap<>();
   private Supplier<Map<Long, Tally>> others = Map::of;
 
-  /** What the listener heard last of a service. */
+  /** The state of a service at the last notification. */
   private record Told(boolean isShort, double part, long atMs) {}
 
-  /** Hears of shortages. */
+  /** Is notified of overloads. */
   public interface Listener {
     /**
-     * Not all of a service's requests are let in from now on, another part of them, or all again.
+     * Notifies that an overload of a service begins or ends, or that the admitted share changes
+     * during one.
      *
-     * @param leastPart the part of the least urgent ones that is let in
-     * @param why the figures that the part follows
+     * @param service the name of the service
+     * @param isOverloaded true while the service is overloaded
+     * @param leastShare the admitted share of the least urgent rank
+     * @param reason the measured values that the share is computed from
      */
-    void changed(String service, boolean isShort, double leastPart, String why);
+    void changed(String service, boolean isOverloaded, double leastShare, String reason);
   }
 
   /**
-   * Creates an admission that lets all in.
+   * Creates an admission control that admits all requests.
    *
-   * @param salt differs from VM to VM and from start to start
+   * @param ticker the clock
+   * @param salt a value that differs from VM to VM and from start to start
+   * @param view the load of this VM's services
+   * @param listener is notified of overloads
    */
   public FleetAdmission(Ticker ticker, long salt, ServiceView view, Listener listener) {
     this.ticker = ticker;
@@ -76,12 +86,12 @@
     this.listener = listener;
   }
 
-  /** Hears what the other VMs count, by the keys of {@link #tallies}. */
+  /** Sets the source of the other VMs' sums, by the keys of {@link #tallies}. */
   public void others(Supplier<Map<Long, Tally>> sums) {
     others = sums;
   }
 
-  /** Returns what this VM counts, to be told to the others. */
+  /** Returns the counts of this VM for the load reports to other VMs. */
   public List<Tally> tallies() {
     List<Tally> all = new ArrayList<>();
     long now = ticker.millis();
@@ -97,21 +107,26 @@
     return services.computeIfAbsent(name, key -> new ServiceAdmission(key, view));
   }
 
-  /** Counts a request that has come and decides on it. */
-  public Verdict decide(Applicant applicant) {
+  /** Counts a request that has arrived and decides whether it is admitted. */
+  public Verdict decide(Applicant request) {
     long now = ticker.millis();
-    ServiceAdmission service = service(applicant.service());
-    update(applicant.service(), service, now);
-    long hash = Hashes.weight(salt, Hashes.placement(applicant.id()));
+    ServiceAdmission service = service(request.service());
+    update(request.service(), service, now);
+    long hash = Hashes.weight(salt, Hashes.placement(request.id()));
     double draw = Hashes.unit(hash);
-    Verdict verdict = service.decide(applicant, draw, now);
+    Verdict verdict = service.decide(request, draw, now);
     if (!verdict.isAdmitted()) {
       refused.merge(verdict.cause(), 1L, Long::sum);
     }
     return verdict;
   }
 
-  /** Notes that a server began a request of a size. */
+  /**
+   * Counts a request that a server has started.
+   *
+   * @param service the name of the service
+   * @param size the cost of the request, as in {@link Applicant#size}
+   */
   public void began(String service, long size) {
     service(service).began(size, ticker.millis());
   }
@@ -121,12 +136,12 @@
       return;
     }
     service.update(others.get(), now);
-    Told before = told.get(name);
-    boolean wasShort = before != null && before.isShort;
+    Told last = told.get(name);
+    boolean wasShort = last != null && last.isShort;
     boolean differs =
-        before != null
-            && now - before.atMs >= TELL_EVERY_MS
-            && Math.abs(before.part - service.leastPart()) >= TELL_CHANGE;
+        last != null
+            && now - last.atMs >= TELL_EVERY_MS
+            && Math.abs(last.part - service.leastPart()) >= TELL_CHANGE;
     if (wasShort != service.isShort() || (service.isShort() && differs)) {
       told.put(name, new Told(service.isShort(), service.leastPart(), now));
       listener.changed(name, service.isShort(), service.leastPart(), service.why());
@@ -138,7 +153,7 @@
     return refused.getOrDefault(cause, 0L);
   }
 
-  /** Returns the least part of any service's requests that is let in; 1 without shortage. */
+  /** Returns the smallest admitted share over all services; 1 without overload. */
   public double leastPart() {
     double least = 1;
     for (ServiceAdmission service : services.values()) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/ReturningCallers.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/ReturningCallers.java
@@ -16,24 +16,33 @@
 package org.landingtrack.internal.overload;
 
 /**
- * Tells callers of a route that come back after a refusal from those that come anew, at whatever VM
- * they were: they have less time left than the others say. Where callers differ in that anyway,
- * nobody counts as one who returns. Not thread-safe.
+ * Tells client retries after a refusal from first attempts on a route, whichever VM refused them: a
+ * retry states a shorter deadline than other requests. On routes where the deadlines of first
+ * attempts differ as well, no request counts as a retry. Not thread-safe.
  */
 final class ReturningCallers {
-  /** No caller is told to come back sooner. */
+  /**
+   * Shortest retry delay that callers are told. A retry has at least this much less time than a
+   * first attempt.
+   */
   static final long LEAST_SPENT_MS = 200;
 
-  /** The longest that callers say is forgotten after once or twice this time. */
+  /** The longest stated deadline is forgotten after one to two times this span. */
   private static final long SPAN_MS = 30_000;
 
-  /** After a shortage, callers still return for so long; what they say is not usual then. */
+  /**
+   * Callers still retry for this long after an overload, so the deadlines that they state then are
+   * not typical of the route.
+   */
   private static final long RETURNS_MS = 5_000;
 
-  /** If more callers than this have less time without a shortage, that is how they are. */
+  /**
+   * If more than this share of requests state a shorter deadline without an overload, deadlines
+   * differ on this route anyway.
+   */
   private static final double MOST_UNUSUAL = 0.05;
 
-  /** One request changes the share of unusual ones by this part. */
+  /** Weight of one request in the moving average of requests with a shorter deadline. */
   private static final double WEIGHT = 0.02;
 
   private long longestMs;
@@ -43,11 +52,13 @@
   private double unusual;
 
   /**
-   * Notes what a caller says, and returns true if it probably returns.
+   * Records a stated deadline, and returns true if the request is probably a retry.
    *
-   * @param deadlineMs how long it says that it waits; 0 if it does not say
+   * @param deadlineMs how long the caller says that it waits; 0 if it does not say
+   * @param isOverloaded true while the service is overloaded
+   * @param nowMs the current time
    */
-  boolean isReturn(long deadlineMs, boolean isShort, long nowMs) {
+  boolean isReturn(long deadlineMs, boolean isOverloaded, long nowMs) {
     if (deadlineMs <= 0) {
       return false;
     }
@@ -57,12 +68,13 @@
       spanStartMs = nowMs;
     }
     longestMs = Math.max(longestMs, deadlineMs);
-    boolean hasLess = Math.max(longestMs, longestBeforeMs) - deadlineMs >= LEAST_SPENT_MS;
-    if (isShort) {
+    boolean hasShorterDeadline =
+        Math.max(longestMs, longestBeforeMs) - deadlineMs >= LEAST_SPENT_MS;
+    if (isOverloaded) {
       shortUntilMs = nowMs + RETURNS_MS;
     } else if (nowMs >= shortUntilMs) {
-      unusual += WEIGHT * ((hasLess ? 1 : 0) - unusual);
+      unusual += WEIGHT * ((hasShorterDeadline ? 1 : 0) - unusual);
     }
-    return hasLess && unusual <= MOST_UNUSUAL;
+    return hasShorterDeadline && unusual <= MOST_UNUSUAL;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/ServiceAdmission.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/ServiceAdmission.java
@@ -25,17 +25,23 @@
 import org.landingtrack.internal.overload.Verdict.Cause;
 
 /**
- * Lets requests of one service in or refuses them, by what this VM and the others see of it. Not
- * thread-safe.
+ * Admission control of one service: decides on its requests by the demand that this VM and the
+ * others see. Not thread-safe.
  */
 final class ServiceAdmission {
-  /** Teams of a service that are told of in a shortage, the largest first. */
+  /**
+   * Number of teams that are reported to other VMs during an overload, those with the largest
+   * demand first.
+   */
   private static final int MOST_TEAMS = 24;
 
-  /** An answer takes at least about so long after it began. */
+  /** Shortest time that an answer is expected to take after a server has started the request. */
   private static final long LEAST_ANSWER_MS = 100;
 
-  /** Makes a draw of its own of the one that decided: the refused ones' are all alike. */
+  /**
+   * Derives the spread of retry delays from the random draw that decided. The draws of refused
+   * requests are close to each other, and the factor makes them differ.
+   */
   private static final int SPREADS = 1_009;
 
   private static final double PERCENT = 100;
@@ -64,12 +70,12 @@
     return meter.demand(rank -> view.waiting(name, rank), view.late(name), nowMs);
   }
 
-  /** Returns what this VM counts, to be told to the others. */
+  /** Returns the counts of this VM for the load reports to other VMs. */
   List<Tally> tallies(long nowMs) {
-    Demand own = own(nowMs);
+    Demand demand = own(nowMs);
     List<Tally> tallies = new ArrayList<>();
-    if (!own.isNothing()) {
-      tallies.add(own.tally(nameHash));
+    if (!demand.isNothing()) {
+      tallies.add(demand.tally(nameHash));
     }
     if (level.isShort()) {
       List<Map.Entry<String, Long>> teams = new ArrayList<>(meter.teams(nowMs).entrySet());
@@ -85,7 +91,12 @@
     meter.began(size, nowMs);
   }
 
-  /** Takes what is known now. */
+  /**
+   * Recomputes the admitted shares.
+   *
+   * @param others the sums of the other VMs, by key
+   * @param nowMs the current time
+   */
   void update(Map<Long, Tally> others, long nowMs) {
     updatedAtMs = nowMs;
     Demand demand = own(nowMs).plus(others.getOrDefault(nameHash, new Tally(nameHash)));
@@ -99,7 +110,7 @@
     }
   }
 
-  /** Returns the figures that the part follows, for the log. */
+  /** Returns the measured values that the shares are computed from, for the log. */
   String why() {
     return level.why();
   }
@@ -112,25 +123,30 @@
     return level.isShort();
   }
 
-  /** Returns the part of the least urgent requests that is let in. */
+  /** Returns the admitted share of the least urgent rank. */
   double leastPart() {
     return level.part(Demand.RANKS - 1, false);
   }
 
-  /** Counts a request and decides on it; {@code draw} is from 0 to 1 and chooses who gets room. */
-  Verdict decide(Applicant applicant, double draw, long nowMs) {
-    int rank = Math.max(0, Math.min(Demand.RANKS - 1, applicant.rank()));
-    boolean isReturn =
+  /**
+   * Counts a request and decides whether it is admitted.
+   *
+   * @param draw a random number from 0 to 1; the request is admitted if it is below the admitted
+   *     share
+   */
+  Verdict decide(Applicant request, double draw, long nowMs) {
+    int rank = Math.max(0, Math.min(Demand.RANKS - 1, request.rank()));
+    boolean isRetry =
         callers
-            .computeIfAbsent(applicant.route(), route -> new ReturningCallers())
-            .isReturn(applicant.deadlineMs(), level.isShort(), nowMs);
-    meter.came(applicant.team(), rank, isReturn, applicant.size(), nowMs);
+            .computeIfAbsent(request.route(), route -> new ReturningCallers())
+            .isReturn(request.deadlineMs(), level.isShort(), nowMs);
+    meter.came(request.team(), rank, isRetry, request.size(), nowMs);
     if (!level.isShort()) {
       return Verdict.ADMITTED;
     }
-    double part = level.part(rank, isReturn);
-    double teamPart = part < 1 ? teamPart(applicant.team(), part) : 1;
-    Cause cause = cause(draw, part, teamPart, level.waitMs(rank), applicant.leftMs());
+    double share = level.part(rank, isRetry);
+    double teamShare = share < 1 ? teamPart(request.team(), share) : 1;
+    Cause cause = cause(draw, share, teamShare, level.waitMs(rank), request.leftMs());
     if (cause == Cause.NONE) {
       return Verdict.ADMITTED;
     }
@@ -138,10 +154,10 @@
         String.format(
             "admission by %s: %d%% of rank %d%s are let in, %d%% of the team's, wait %d ms",
             cause.text(),
-            Math.round(part * PERCENT),
+            Math.round(share * PERCENT),
             rank,
-            isReturn ? " that return" : "",
-            Math.round(teamPart * PERCENT),
+            isRetry ? " that return" : "",
+            Math.round(teamShare * PERCENT),
             (long) level.waitMs(rank));
     double spread = (draw * SPREADS) % 1;
     long retryMs =
@@ -149,29 +165,30 @@
             rank,
             level.waitMs(rank),
             level.isGrowing(),
-            Math.max(applicant.leftMs(), applicant.deadlineMs()),
+            Math.max(request.leftMs(), request.deadlineMs()),
             spread);
     return new Verdict(cause, why, retryMs);
   }
 
   private static Cause cause(
-      double draw, double part, double teamPart, double waitMs, long leftMs) {
+      double draw, double share, double teamShare, double waitMs, long leftMs) {
     if (waitMs + LEAST_ANSWER_MS > leftMs) {
       return Cause.TIME;
     }
-    if (draw < teamPart) {
+    if (draw < teamShare) {
       return Cause.NONE;
     }
-    return draw < part ? Cause.TEAM : Cause.RANK;
+    return draw < share ? Cause.TEAM : Cause.RANK;
   }
 
-  private double teamPart(String team, double part) {
+  private double teamPart(String team, double share) {
     long asked = askedByTeams.getOrDefault(teamKey(team), 0L);
     if (team.isEmpty() || asked == 0) {
-      return part;
+      return share;
     }
     double teamLevel =
-        teamLevels.computeIfAbsent(part, each -> TeamShares.level(askedByTeams.values(), each));
-    return TeamShares.part(teamLevel, asked, part);
+        teamLevels.computeIfAbsent(
+            share, admittedShare -> TeamShares.level(askedByTeams.values(), admittedShare));
+    return TeamShares.part(teamLevel, asked, share);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/ServiceView.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/ServiceView.java
@@ -15,25 +15,28 @@
  */
 package org.landingtrack.internal.overload;
 
-/** What a VM sees of its services. */
+/** Provides the load of a VM's services to admission control. */
 public interface ServiceView {
-  /** Returns within how long the most urgent answers of a service are in time. */
+  /** Returns the latency target of the service's most urgent requests, in milliseconds. */
   long targetMs(String service);
 
   /**
-   * Returns what waits of this VM's requests, of a rank, and can still be in time; in the unit of
-   * {@link Applicant#size}.
+   * Returns the cost of this VM's queued requests of a rank that can still meet their latency
+   * target, in the unit of {@link Applicant#size}.
    *
-   * @param rank the last rank stands for all less urgent ones as well
+   * @param rank the rank; the last one includes all less urgent ones
    */
   long waiting(String service, int rank);
 
-  /** Returns what waits at this VM and can no longer be in time, in the same unit. */
+  /**
+   * Returns the cost of this VM's queued requests that can no longer meet their latency target, in
+   * the same unit.
+   */
   long late(String service);
 
   /**
-   * Returns the part of the room of a service's servers that all VMs' requests take; 1 or more
-   * where none is left.
+   * Returns the share of the capacity of a service's servers that the requests of all VMs use; 1 or
+   * more if none is left.
    */
   double takenShare(String service);
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/TeamShares.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/TeamShares.java
@@ -18,11 +18,15 @@
 import java.util.Collection;
 
 /**
- * Divides scarce room between teams by need: up to a level each has what it asks for. Answers the
- * load of a few teams that ask for more than all others. Pure.
+ * Divides scarce capacity between teams by max-min fairness: a team gets all that it asks for up to
+ * a common level. Keeps a few teams with a very high demand from crowding out all others.
+ * Stateless.
  */
 final class TeamShares {
-  /** A team gets at least this part of what the kind of request gets: none is left with nothing. */
+  /**
+   * Each team is admitted at least at this share of what its priority rank gets, so that no team is
+   * starved.
+   */
   private static final double FLOOR = 0.5;
 
   private static final int STEPS = 30;
@@ -30,27 +34,27 @@
   private TeamShares() {}
 
   /**
-   * Returns the level at which teams together get a part of what they ask for; the part of one team
-   * is {@link #part}.
+   * Returns the level at which the teams together get a share of their total demand; {@link #part}
+   * gives the share of a single team.
    *
-   * @param asked what each team asks for
-   * @param part of the whole, from 0 to 1
+   * @param demands the demand of each team
+   * @param share the share of the total demand that is admitted, from 0 to 1
    */
-  static double level(Collection<Long> asked, double part) {
+  static double level(Collection<Long> demands, double share) {
     double low = 0;
     double high = 0;
-    double room = 0;
-    for (long each : asked) {
-      high = Math.max(high, (double) each);
-      room += part * each;
+    double available = 0;
+    for (long demand : demands) {
+      high = Math.max(high, (double) demand);
+      available += share * demand;
     }
     for (int i = 0; i < STEPS; i++) {
       double level = (low + high) / 2;
-      double given = 0;
-      for (long each : asked) {
-        given += each * part(level, each, part);
+      double granted = 0;
+      for (long demand : demands) {
+        granted += demand * part(level, demand, share);
       }
-      if (given > room) {
+      if (granted > available) {
         high = level;
       } else {
         low = level;
@@ -59,8 +63,14 @@
     return low;
   }
 
-  /** Returns the part of a team's requests that is let in at a level. */
-  static double part(double level, long asked, double part) {
-    return asked <= 0 ? 1 : Math.min(1, Math.max(FLOOR * part, level / asked));
+  /**
+   * Returns the share of a team's requests that is admitted at a level.
+   *
+   * @param level the result of {@link #level}
+   * @param demand the demand of the team
+   * @param share the share of the total demand that is admitted, from 0 to 1
+   */
+  static double part(double level, long demand, double share) {
+    return demand <= 0 ? 1 : Math.min(1, Math.max(FLOOR * share, level / demand));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/Verdict.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/Verdict.java
@@ -16,25 +16,25 @@
 package org.landingtrack.internal.overload;
 
 /**
- * Whether a request is let in.
+ * The decision of admission control on a request.
  *
- * @param cause why it is not; {@link Cause#NONE} if it is
- * @param why the same with the figures that decided, for the log
- * @param retryAfterMs when its caller should come back; 0 if it is let in
+ * @param cause why it is refused; {@link Cause#NONE} if it is admitted
+ * @param why the cause with the values that decided, for the log
+ * @param retryAfterMs when the caller should retry, in milliseconds; 0 if the request is admitted
  */
 public record Verdict(Cause cause, String why, long retryAfterMs) {
-  /** The request is let in. */
+  /** The request is admitted. */
   public static final Verdict ADMITTED = new Verdict(Cause.NONE, "", 0);
 
   /** Why a request is refused. */
   public enum Cause {
-    /** It is not. */
+    /** The request is not refused. */
     NONE("none"),
-    /** Its rank has no room. */
+    /** The capacity for its priority rank is used up. */
     RANK("rank"),
-    /** Its team has more of the room than others. */
+    /** Its team uses more of the capacity than other teams. */
     TEAM("team"),
-    /** It could only begin when its time is over. */
+    /** It could only start after its deadline. */
     TIME("time");
 
     private final String text;
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Returns true if the request is let in. */
+  /** Returns true if the request is admitted. */
   public boolean isAdmitted() {
     return cause == Cause.NONE;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/package-info.java
@@ -14,8 +14,9 @@
  * limitations under the License.
  */
 /**
- * Who is let in when more is asked of a service than its servers can do, and when the others are to
- * come back. No I/O and no clock but those handed in.
+ * Admission control for services whose demand exceeds the capacity of their servers: which requests
+ * are admitted, and when refused callers should retry. Does no I/O and reads no clock except those
+ * passed in.
  */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.overload;
--- a/landingtrack/src/test/java/org/landingtrack/internal/overload/FleetAdmissionTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/overload/FleetAdmissionTest.java
@@ -27,10 +27,12 @@
 import org.testng.annotations.Test;
 
 /**
- * Once, each of 74 VMs with a few requests decided by its own line and rate at servers that could
- * serve a part: nearly all were late (0.367 served, worth 0.011 of what was owed) where a part
- * could have been in time and the rest told at once. Here all VMs decide by the same sums, and what
- * counts is what callers get.
+ * Checks the admission of a simulated fleet that is overloaded.
+ *
+ * <p>Guards against VMs that decide only by their own queue and rate. With 74 VMs that each saw few
+ * requests, nearly all were served late (0.367 served, with 0.011 of the value owed), though a part
+ * could have been served in time and the rest refused at once. All VMs now decide by the same sums.
+ * The tests measure what callers get.
  */
 public final class FleetAdmissionTest {
   private static final long SEED = 7;
@@ -51,7 +53,7 @@
     return fleet;
   }
 
-  /** VMs and how many times what servers can do is asked for. */
+  /** Numbers of VMs, and demand as a multiple of the servers' capacity. */
   @DataProvider
   public Object[][] overloads() {
     int[] vms = {1, 7, 30, 74, 300};
@@ -72,7 +74,7 @@
   public void whatIsLetInIsInTime(int vms, double load) {
     OverloadedFleet fleet = played(vms, load);
     double late = fleet.part(call -> call.admitted, call -> !call.isInTime());
-    assertTrue(late <= 0.05, "late of what was let in: " + late);
+    assertTrue(late <= 0.05, "late share of the admitted requests: " + late);
   }
 
   @Test(dataProvider = "overloads")
@@ -100,7 +102,7 @@
     }
   }
 
-  /** Teams with equal shares that ask for as much. */
+  /** Teams with equal shares and equal demand get equal service. */
   @Test(dataProvider = "fleets")
   public void teamsAskingForAsMuchGetAsMuch(int vms) {
     OverloadedFleet fleet = new OverloadedFleet(vms, OverloadedFleet.oneLargeTeam(), SEED);
@@ -124,8 +126,10 @@
     OverloadedFleet full = played(vms, 1);
     OverloadedFleet twice = played(vms, 2);
     long before = full.tokensInTime(0, Long.MAX_VALUE);
-    long then = twice.tokensInTime(0, Long.MAX_VALUE);
-    assertTrue(then >= 0.9 * before, then + " tokens in time, " + before + " without overload");
+    long overloaded = twice.tokensInTime(0, Long.MAX_VALUE);
+    assertTrue(
+        overloaded >= 0.9 * before,
+        overloaded + " tokens in time, " + before + " without overload");
   }
 
   @Test(dataProvider = "fleets")
@@ -147,8 +151,8 @@
   }
 
   /**
-   * Those who were refused come back and ask for more than servers can do for seconds after the
-   * shortage. New ones, who can be in time, go first: less than 5 in 100 notice.
+   * Refused callers that retry for some seconds after an overload ask for more than the servers'
+   * capacity. First attempts, which can still be in time, go first: at most 5 in 100 are refused.
    */
   @Test(dataProvider = "fleets")
   public void whoReturnsTakesLittleRoomOfNewOnesAfterAShortage(int vms) {
@@ -160,7 +164,10 @@
     assertTrue(refused <= 0.05, "refused: " + refused);
   }
 
-  /** To come back as told is worth more than the first try was, and worth it for most. */
+  /**
+   * A retry after the told delay succeeds more often than the first attempt did, and for at least
+   * half of the callers.
+   */
   @Test(dataProvider = "fleets")
   public void whoComesBackAfterABurstIsServed(int vms) {
     OverloadedFleet fleet = played(vms, 0.5);
@@ -170,8 +177,10 @@
     fleet.play(1_500, 2);
     double first = fleet.part(isLast, call -> !call.isRefused);
     fleet.play(8_000, 0.5);
-    double again = fleet.part(isLast.and(call -> call.isRefused), Call::isServed);
-    assertTrue(again >= Math.max(first, 0.5), again + " of those who return, " + first + " before");
+    double retriesServed = fleet.part(isLast.and(call -> call.isRefused), Call::isServed);
+    assertTrue(
+        retriesServed >= Math.max(first, 0.5),
+        retriesServed + " of the retries served, " + first + " of the first attempts");
   }
 
   @Test(dataProvider = "fleets")
@@ -181,7 +190,7 @@
     fleet.servers = 0.5;
     fleet.play(PLAY_MS, 0.9);
     double late = fleet.part(call -> call.admitted, call -> !call.isInTime());
-    assertTrue(late <= 0.05, "late of what was let in: " + late);
+    assertTrue(late <= 0.05, "late share of the admitted requests: " + late);
     fleet.servers = 1;
     fleet.callersReturn = false;
     fleet.forgetReturning();
@@ -191,7 +200,7 @@
     assertEquals(fleet.part(call -> call.isRefused), 0.0);
   }
 
-  /** It goes by its own figures, which are those of a part of all. */
+  /** A VM that is cut off decides by its own measurements, which cover a part of the fleet. */
   @Test
   public void aVmThatIsCutOffRefusesLikeTheOthers() {
     OverloadedFleet fleet = new OverloadedFleet(7, equalTeams(), SEED);
@@ -200,7 +209,7 @@
     fleet.calls.clear();
     fleet.play(PLAY_MS, 2);
     double late = fleet.part(call -> call.admitted, call -> !call.isInTime());
-    assertTrue(late <= 0.05, "late of what was let in: " + late);
+    assertTrue(late <= 0.05, "late share of the admitted requests: " + late);
     double cut = fleet.part(call -> call.vm() == 6, Call::isServed);
     double all = fleet.part(Call::isServed);
     assertTrue(cut >= 0.8 * all && cut <= 1.25 * all, cut + " at the VM, " + all + " in all");
--- a/landingtrack/src/test/java/org/landingtrack/internal/overload/OverloadedFleet.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/overload/OverloadedFleet.java
@@ -28,14 +28,14 @@
 import org.landingtrack.internal.loads.Tally;
 
 /**
- * VMs before servers of one service that do so much in a second, with callers who come back once.
- * News of a VM are one to three rounds old. Seeded.
+ * Simulates VMs before the servers of one service, with limited server capacity and callers that
+ * retry once. Load reports of a VM are one to three rounds old. Random numbers are seeded.
  */
 final class OverloadedFleet {
   static final String SERVICE = "engines";
   static final int TEAMS = 24;
 
-  /** What servers begin in a second, in tokens. */
+  /** Server capacity: tokens that servers start in a second. */
   private static final double TOKENS_PER_S = 1_000_000;
 
   private static final long STEP_MS = 5;
@@ -45,7 +45,7 @@
   private static final long ANSWER_MS = 100;
   private static final long BUSY_SPAN_MS = 500;
 
-  /** A kind of request; {@code share} is its part of all requests. */
+  /** A kind of request; {@code share} is its share of all requests. */
   record Kind(int rank, long meanSize, long targetMs, long deadlineMs, double share) {}
 
   static final List<Kind> KINDS =
@@ -54,7 +54,7 @@
           new Kind(1, 900, 600, 10_000, 0.4),
           new Kind(2, 12_000, 1_000, 12_000, 0.25));
 
-  /** One request of a caller with all its tries. */
+  /** A request of a caller with all its attempts. */
   static final class Call {
     final Kind kind;
     final int team;
@@ -78,12 +78,12 @@
       return answeredMs < Long.MAX_VALUE;
     }
 
-    /** Returns true if it is answered within its target from its latest try. */
+    /** Returns true if the answer meets the latency target, counted from the latest attempt. */
     boolean isInTime() {
       return isServed() && answeredMs - triedMs <= kind.targetMs;
     }
 
-    /** Returns the VM of its latest try. */
+    /** Returns the VM of the latest attempt. */
     int vm() {
       return vm;
     }
@@ -101,7 +101,7 @@
     }
   }
 
-  /** One VM and what it told in the last rounds, the latest first. */
+  /** A VM and its load reports of the last rounds, the latest first. */
   private final class Vm implements ServiceView {
     final FleetAdmission admission;
     final Deque<List<Tally>> told = new ArrayDeque<>();
@@ -155,10 +155,10 @@
 
   final List<Call> calls = new ArrayList<>();
 
-  /** What servers do, as a part of what they can do when all are there. */
+  /** Available server capacity as a share of full capacity. */
   double servers = 1;
 
-  /** Whether refused callers come back, once. */
+  /** Whether refused callers retry, once. */
   boolean callersReturn = true;
 
   private final Random random;
@@ -173,7 +173,7 @@
   private double owedTokens;
   private long ids;
 
-  /** Creates a fleet whose teams ask for parts of all requests like {@code teamShares}. */
+  /** Creates a fleet; {@code teamShares} are the teams' shares of all requests. */
   OverloadedFleet(int vmCount, double[] teamShares, long seed) {
     this.random = new Random(seed);
     this.teamShares = teamShares.clone();
@@ -182,7 +182,7 @@
     }
   }
 
-  /** Returns equal parts of all teams but the first, which asks for as much as ten of them. */
+  /** Returns equal shares for all teams but the first, which asks for as much as ten others. */
   static double[] oneLargeTeam() {
     double[] shares = new double[TEAMS];
     for (int i = 0; i < TEAMS; i++) {
@@ -203,22 +203,22 @@
     return nowMs;
   }
 
-  /** Cuts the last VM off, so that it neither tells nor hears. */
+  /** Isolates the last VM, so that it neither sends nor receives load reports. */
   void cutOne() {
     vms.get(vms.size() - 1).isCut = true;
   }
 
-  /** Who was refused so far does not come back. */
+  /** Cancels the retries of callers refused so far. */
   void forgetReturning() {
     comingBack.clear();
   }
 
-  /** Returns true if a VM still refuses some. */
+  /** Returns true if a VM still refuses requests. */
   boolean isAnyShort() {
     return vms.stream().anyMatch(vm -> vm.admission.leastPart() < 1);
   }
 
-  /** Plays on with so many times the demand that servers can serve. */
+  /** Runs the simulation on with a demand of {@code load} times the servers' capacity. */
   void play(long forMs, double load) {
     long endMs = nowMs + forMs;
     while (nowMs < endMs) {
@@ -249,17 +249,17 @@
         }
       }
     }
-    Map<Long, Tally> told = new HashMap<>();
-    sum.forEach((key, counts) -> told.put(key, new Tally(key, counts)));
-    sums.add(0, told);
+    Map<Long, Tally> reports = new HashMap<>();
+    sum.forEach((key, counts) -> reports.put(key, new Tally(key, counts)));
+    sums.add(0, reports);
     vms.forEach(Vm::hear);
   }
 
   private void callAnew(double load) {
     double perMs = load * TOKENS_PER_S / 1_000 / meanTokens();
-    double left = perMs * STEP_MS;
-    while (random.nextDouble() < left) {
-      left--;
+    double remaining = perMs * STEP_MS;
+    while (random.nextDouble() < remaining) {
+      remaining--;
       Kind kind = KINDS.get(draw(KINDS.stream().mapToDouble(Kind::share).toArray()));
       long size = Math.max(1, (long) (kind.meanSize * (0.5 + random.nextDouble())));
       attempt(begin(new Call(kind, draw(teamShares), size, nowMs)));
@@ -353,18 +353,18 @@
     return busy.stream().mapToDouble(Double::doubleValue).sum();
   }
 
-  /** Returns the part of all calls of which something is true. */
+  /** Returns the share of all calls that match. */
   double part(Predicate<Call> what) {
     return part(call -> true, what);
   }
 
-  /** Returns the part of some calls of which something is true. */
+  /** Returns the share of the calls selected by {@code of} that match {@code what}. */
   double part(Predicate<Call> of, Predicate<Call> what) {
     long all = calls.stream().filter(of).count();
     return (double) calls.stream().filter(of.and(what)).count() / Math.max(1, all);
   }
 
-  /** Returns the tokens of requests that came between two times and are answered in time. */
+  /** Returns the tokens of requests that arrived between two times and were answered in time. */
   long tokensInTime(long fromMs, long untilMs) {
     return calls.stream()
         .filter(call -> call.firstMs >= fromMs && call.firstMs < untilMs && call.isInTime())
--- a/landingtrack/src/test/java/org/landingtrack/internal/overload/ReturningCallersTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/overload/ReturningCallersTest.java
@@ -39,7 +39,7 @@
     assertFalse(callers.isReturn(0, true, 10));
   }
 
-  /** Otherwise whoever waits for a short time always would come before others. */
+  /** Otherwise callers with short deadlines would always go before others. */
   @Test
   public void whereCallersDifferNobodyReturns() {
     ReturningCallers callers = new ReturningCallers();
@@ -49,7 +49,7 @@
     assertFalse(callers.isReturn(FULL_MS / 2, true, 200));
   }
 
-  /** Those who return after a shortage do not make the route one whose callers differ. */
+  /** Retries after an overload must not make a route count as one whose deadlines differ. */
   @Test
   public void whatIsSaidAfterAShortageIsNotUsual() {
     ReturningCallers callers = new ReturningCallers();
@@ -60,7 +60,7 @@
     assertTrue(callers.isReturn(FULL_MS - 1_000, true, 200));
   }
 
-  /** A caller that said a very long time once is not the measure for ever. */
+  /** A single caller that once stated a very long deadline does not stay the reference for ever. */
   @Test
   public void theLongestTimeIsForgotten() {
     ReturningCallers callers = new ReturningCallers();
--- a/landingtrack/src/test/java/org/landingtrack/internal/overload/TeamSharesTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/overload/TeamSharesTest.java
@@ -35,7 +35,7 @@
     assertEquals(200 * TeamShares.part(level, 200, 0.5), 72.5, 1e-3);
   }
 
-  /** 24 teams, of which one asks for a hundred times as much as each other. */
+  /** One of 24 teams asks for a hundred times as much as each other. */
   @Test
   public void noTeamIsLeftWithNothing() {
     List<Long> asked = new ArrayList<>(Collections.nCopies(23, 10L));
