--- a/landingtrack/src/main/java/org/landingtrack/internal/admission/ConcurrencyLimit.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/admission/ConcurrencyLimit.java
@@ -16,21 +16,21 @@
 package org.landingtrack.internal.admission;
 
 /**
- * How many requests of a service one gateway lets run at once, learned from what its requests wait
- * at the backend servers (additive increase, multiplicative decrease).
+ * Limits how many requests of a service one gateway runs at once. The limit adapts to the time that
+ * its requests wait at the backend servers (additive increase, multiplicative decrease).
  *
- * <p>Engines take more requests than they can start in time. Work that waits there can no longer be
- * ordered between teams, be sent elsewhere or be refused in time; so the queues there are kept
- * short and requests wait in the gateway. Thread-safe.
+ * <p>Engines accept more requests than they can start in time. Requests that wait at an engine can
+ * no longer be ordered between teams, be sent to another server or be refused in time. So the
+ * queues at engines are kept short, and requests wait in the gateway. Thread-safe.
  */
 public final class ConcurrencyLimit {
   private static final long WINDOW_MS = 250;
   private static final double DECREASE = 0.8;
 
-  /** A request may wait so much at its server, whatever its own work is. */
+  /** Time that a request may wait at its server, whatever its own work. */
   private static final double TOLERATED_MS = 50;
 
-  /** A request may wait for so many others of its own size. */
+  /** Further tolerated wait, as a multiple of the request's own work. */
   private static final double TOLERATED_WORKS = 3;
 
   private double limit = Double.MAX_VALUE;
@@ -42,12 +42,14 @@
   private int mostRunning;
 
   /**
-   * Notes a first token.
+   * Records that a request got its first token.
    *
-   * @param waitMs time at the server beyond the request's own work
-   * @param workMs the request's own work, by estimate
-   * @param running requests of this gateway that run now
-   * @param sentMs when it was sent; what was sent before the last decrease does not show its effect
+   * @param waitMs the time at the server beyond the request's own work
+   * @param workMs the estimated time of the request's own work
+   * @param running the number of requests of this gateway that run now
+   * @param sentMs when the request was sent; requests sent before the last decrease are ignored,
+   *     since they do not show its effect
+   * @param nowMs the current time
    */
   public synchronized void observed(
       double waitMs, double workMs, int running, long sentMs, long nowMs) {
@@ -80,7 +82,7 @@
     mostRunning = 0;
   }
 
-  /** Returns the limit now, {@code least} at least and {@code most} at most. */
+  /** Returns the current limit, bounded by {@code least} and {@code most}. */
   public synchronized int between(int least, int most) {
     return (int) Math.max(least, Math.min(most, limit));
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/admission/FairQueue.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/admission/FairQueue.java
@@ -26,12 +26,12 @@
 import org.landingtrack.internal.base.Ticker;
 
 /**
- * Lets requests of one service through to its backend servers, a bounded number at a time, fair
- * between teams by weight (start-time fair queueing).
+ * Queues the requests of one service and admits a bounded number of them at a time to its backend
+ * servers, fairly between teams by weight (start-time fair queueing).
  *
- * <p>A request that cannot make its deadline is refused at once with a time to come back; it is
- * never held until it has become hopeless. When the queue is full, the team that waits with more
- * than its share gives up its newest request to a team below its share. Thread-safe.
+ * <p>A request that cannot meet its deadline is refused at once with a retry delay; it is not
+ * queued until it is too late. When the queue is full, the team with the most queued requests for
+ * its weight loses its newest one to a team with fewer. Thread-safe.
  */
 public final class FairQueue {
   private static final double SMOOTHING = 0.1;
@@ -76,7 +76,9 @@
   /**
    * Creates a queue.
    *
-   * @param slots how many requests may run now; asked again each time
+   * @param ticker the clock
+   * @param slots returns how many requests may run now; called each time
+   * @param maxWaiting the largest number of queued requests
    */
   public FairQueue(Ticker ticker, IntSupplier slots, int maxWaiting) {
     this.ticker = ticker;
@@ -85,9 +87,12 @@
   }
 
   /**
-   * Waits for a slot, at most until the deadline; after success {@link #leave} must follow.
+   * Waits for a slot, at most until the deadline. After success {@link #leave} must be called.
    *
+   * @param team the name of the team
    * @param weight the team's weight, doubled for each step of priority by the caller
+   * @param deadlineMs the deadline, by the clock of this queue
+   * @throws LandingtrackException if the request is refused
    */
   public synchronized void enter(String team, double weight, long deadlineMs)
       throws InterruptedException {
@@ -107,14 +112,17 @@
       admitNext();
     }
     if (waiter.state == State.EVICTED) {
-      throw refuse("the queue is full and team " + team + " waits with more than its share");
+      throw refuse(
+          "the queue is full, and team "
+              + team
+              + " has more than its share of the queued requests");
     }
   }
 
   private Waiter enqueue(String team, double weight, long deadlineMs) {
     double expectedMs = expectedWaitMs(waiting.size() + 1);
     if (expectedMs + firstTokenMs > deadlineMs - ticker.millis()) {
-      throw refuse("the expected wait is longer than the deadline");
+      throw refuse("the expected wait is longer than the time until the deadline");
     }
     if (waiting.size() >= maxWaiting && !evictFor(team, weight)) {
       throw refuse("the queue is full");
@@ -127,16 +135,19 @@
     return waiter;
   }
 
-  /** Makes room if some team waits with more than the newcomer's team would, for its weight. */
+  /**
+   * Evicts the newest request of the team with the most queued requests for its weight, if that is
+   * more than the new request's team would have; returns true if there is room now.
+   */
   private boolean evictFor(String team, double weight) {
-    double own = (waitingOfTeam.getOrDefault(team, 0) + 1) / weight;
+    double newcomerLoad = (waitingOfTeam.getOrDefault(team, 0) + 1) / weight;
     @Nullable Waiter victim = null;
-    double most = own;
+    double highestLoad = newcomerLoad;
     for (Waiter waiter : waiting) {
-      double held = waitingOfTeam.getOrDefault(waiter.team, 0) / waiter.weight;
-      boolean worse = held > most || (victim != null && waiter.team.equals(victim.team));
+      double teamLoad = waitingOfTeam.getOrDefault(waiter.team, 0) / waiter.weight;
+      boolean worse = teamLoad > highestLoad || (victim != null && waiter.team.equals(victim.team));
       if (worse) {
-        most = Math.max(most, held);
+        highestLoad = Math.max(highestLoad, teamLoad);
         victim = waiter;
       }
     }
@@ -179,14 +190,14 @@
     }
   }
 
-  /** Notes that an admitted request ended after so long. */
+  /** Records that an admitted request has ended after {@code heldMs} and frees its slot. */
   public synchronized void leave(long heldMs) {
     running--;
     holdMs += SMOOTHING * (heldMs - holdMs);
     admitNext();
   }
 
-  /** Notes how long an admitted request took to its first token. */
+  /** Records the time that an admitted request took to its first token. */
   public synchronized void firstTokenAfter(double ms) {
     firstTokenMs += SMOOTHING * (ms - firstTokenMs);
   }
@@ -201,7 +212,7 @@
     return new LandingtrackException(ErrorKind.OVERLOADED, why, seconds);
   }
 
-  /** Returns the number of waiting requests. */
+  /** Returns the number of queued requests. */
   public synchronized int waiting() {
     return waiting.size();
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/admission/ShareBook.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/admission/ShareBook.java
@@ -20,26 +20,33 @@
 import java.util.Map;
 
 /**
- * How teams' limits are divided between gateways: kept by each team's owner, an aggregate without
+ * Divides teams' limits between gateways. Each team has one owner that keeps its state; does no
  * I/O.
  *
- * <p>Without a word from the owner every gateway has an equal share. A gateway reports a team only
- * while it wants more than half of that; so the owner leaves half an equal share to each of the
- * others and divides the rest among those that report, by what they want. The shares' sum passes
- * the whole only while a gateway's report of new traffic is on its way. Thread-safe.
+ * <p>A gateway without a grant from the owner uses an equal share. Gateways report a team only
+ * while they want more than half of an equal share. So the owner reserves half an equal share for
+ * each gateway that does not report, and divides the rest among those that do, in proportion to
+ * their demand. The sum of the shares exceeds the limit only while a gateway's report of new
+ * traffic is on its way. Thread-safe.
  */
 public final class ShareBook {
-  /** A gateway that was not heard for so long has given its share back. */
+  /**
+   * Validity of a report and of the share granted for it. The share of a gateway that does not
+   * report again within this time is free.
+   */
   static final long VALID_MS = 3_000;
 
-  /** Every reporter keeps a little, so that its traffic can grow. */
+  /**
+   * Each reporting gateway gets at least the share for this fraction of an equal share, so that its
+   * traffic can grow.
+   */
   private static final double SMALLEST_WANT = 0.1;
 
   private static final int MAX_TEAMS = 20_000;
 
   private record Want(double share, long atMs) {}
 
-  /** What is known of one team. */
+  /** The reported demand for one team's limit. */
   private static final class Wants {
     private final long sinceMs;
     private final Map<String, Want> byGateway = new HashMap<>();
@@ -56,35 +63,38 @@
   private final Map<String, Wants> teams = new HashMap<>();
 
   /**
-   * Notes what a gateway wants of a team's limit and returns what it may use.
+   * Records a gateway's demand for a team's limit and returns the share that it may use.
    *
-   * @param wanted share of the limit that its traffic would use, 0 to 1
-   * @param gateways live gateways
+   * @param team the name of the team
+   * @param gateway the name of the gateway
+   * @param wanted the share of the limit that the gateway's traffic would use, from 0 to 1
+   * @param gateways the number of live gateways
+   * @param nowMs the current time
    */
   public synchronized double report(
       String team, String gateway, double wanted, int gateways, long nowMs) {
-    double equal = 1.0 / Math.max(1, gateways);
+    double equalShare = 1.0 / Math.max(1, gateways);
     if (!teams.containsKey(team) && teams.size() >= MAX_TEAMS) {
       expire(nowMs);
       if (teams.size() >= MAX_TEAMS) {
-        return equal;
+        return equalShare;
       }
     }
     Wants wants = teams.computeIfAbsent(team, t -> new Wants(nowMs));
     wants.forgetSilent(nowMs);
-    double own = Math.min(1, wanted) + SMALLEST_WANT * equal;
-    wants.byGateway.put(gateway, new Want(own, nowMs));
+    double ownDemand = Math.min(1, wanted) + SMALLEST_WANT * equalShare;
+    wants.byGateway.put(gateway, new Want(ownDemand, nowMs));
     if (nowMs - wants.sinceMs < VALID_MS) {
-      // Another owner's grants may still be in use; until they have ended nothing is lent.
-      return equal;
+      // Grants of a previous owner may still be in use; nothing is lent until they expire.
+      return equalShare;
     }
     double sum = 0;
     for (Want want : wants.byGateway.values()) {
       sum += want.share;
     }
-    int silent = Math.max(0, gateways - wants.byGateway.size());
-    double pool = 1 - silent * equal / 2;
-    return pool * own / sum;
+    int notReporting = Math.max(0, gateways - wants.byGateway.size());
+    double available = 1 - notReporting * equalShare / 2;
+    return available * ownDemand / sum;
   }
 
   private void expire(long nowMs) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/admission/TeamLimiter.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/admission/TeamLimiter.java
@@ -26,12 +26,12 @@
 import org.landingtrack.internal.catalog.Team;
 
 /**
- * Holds each team to its rate and its concurrency. A gateway takes its share of the team's limits:
- * what the team's owner granted, else an equal one, so that the sum over all gateways keeps to the
- * limit. Thread-safe.
+ * Enforces the rate and concurrency limits of teams. A gateway uses its share of a team's limits:
+ * the share granted by the team's owner, or an equal share without a grant, so that the sum over
+ * all gateways stays within the limit. Thread-safe.
  */
 public final class TeamLimiter {
-  /** Teams of which less than this part of an equal share is used are not reported. */
+  /** Teams that use less than this part of an equal share are not reported. */
   private static final double REPORTED_PART = 0.5;
 
   private final Ticker ticker;
@@ -40,9 +40,10 @@
   private long reportedMs;
 
   /**
-   * What this gateway wants of a team's limit.
+   * This gateway's demand for a team's limit.
    *
-   * @param wanted share of the limit, 0 to 1
+   * @param team the name of the team
+   * @param wanted the share of the limit, from 0 to 1
    */
   public record Demand(String team, double wanted) {}
 
@@ -66,12 +67,16 @@
     this.reportedMs = ticker.millis();
   }
 
-  /** Sets how many gateways share the limits. */
+  /** Sets the number of live gateways that share the limits. */
   public void sharedBy(int liveGateways) {
     gateways = Math.max(1, liveGateways);
   }
 
-  /** Lets a request of a team in, or refuses it; after success {@link #leave} must follow. */
+  /**
+   * Admits a request of a team. After success {@link #leave} must be called.
+   *
+   * @throws LandingtrackException if the team has reached its rate or concurrency limit here
+   */
   public void enter(String name, Team team) {
     long now = ticker.millis();
     State state = states.computeIfAbsent(name, n -> newState(team, now));
@@ -84,14 +89,18 @@
       if (state.inFlight >= concurrency) {
         throw new LandingtrackException(
             ErrorKind.RATE_LIMITED,
-            "team " + name + " has " + state.inFlight + " requests in flight, its share here");
+            "team "
+                + name
+                + " has "
+                + state.inFlight
+                + " requests in flight, its share of the limit at this gateway");
       }
       double burst = Math.max(1, team.burst() * share);
       long waitMs = state.bucket.take(team.requestsPerSecond() * share, burst, now);
       if (waitMs > 0) {
         throw new LandingtrackException(
             ErrorKind.RATE_LIMITED,
-            "team " + name + " is above its rate",
+            "team " + name + " is above its share of the rate limit at this gateway",
             (int) Math.max(1, (waitMs + 999) / 1000));
       }
       state.inFlight++;
@@ -106,7 +115,7 @@
     return now < state.grantedUntilMs ? state.granted : 1.0 / gateways;
   }
 
-  /** Notes that a request of a team ended. */
+  /** Records that a request of a team has ended. */
   public void leave(String name) {
     State state = states.get(name);
     if (state == null) {
@@ -117,7 +126,7 @@
     }
   }
 
-  /** Returns what is wanted since the last call, of the teams that are near their share. */
+  /** Returns the demand since the last call, for teams that use at least half of an equal share. */
   public synchronized List<Demand> demands() {
     long now = ticker.millis();
     double seconds = Math.max(1, now - reportedMs) / 1000.0;
@@ -158,7 +167,10 @@
     return shares;
   }
 
-  /** Takes a share that the team's owner granted; it holds until the owner's memory of it ends. */
+  /**
+   * Applies a share granted by the team's owner. It expires when the owner's record of it does,
+   * after {@link ShareBook#VALID_MS}.
+   */
   public void granted(String name, double share) {
     State state = states.get(name);
     if (state == null) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/admission/TokenBucket.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/admission/TokenBucket.java
@@ -15,7 +15,7 @@
  */
 package org.landingtrack.internal.admission;
 
-/** A token bucket whose rate may change. Not thread-safe; the caller gives the time. */
+/** A token bucket whose rate and size may change. Not thread-safe; the caller passes the time. */
 final class TokenBucket {
   private double tokens;
   private long lastMs;
@@ -25,7 +25,7 @@
     this.lastMs = nowMs;
   }
 
-  /** Takes one token; returns 0 if it was there, else the milliseconds until it is. */
+  /** Takes one token. Returns 0 on success, else the milliseconds until a token is available. */
   long take(double perSecond, double burst, long nowMs) {
     tokens = Math.min(burst, tokens + (nowMs - lastMs) * perSecond / 1000);
     lastMs = nowMs;
--- a/landingtrack/src/main/java/org/landingtrack/internal/admission/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/admission/package-info.java
@@ -1,3 +1,6 @@
-/** What is let in: limits of teams, fair queues, deadlines. Does no I/O. */
+/**
+ * Admission control of gateways: limits of teams, fair queues and adaptive concurrency limits. Does
+ * no I/O.
+ */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.admission;
--- a/landingtrack/src/main/java/org/landingtrack/internal/retry/FleetRetries.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/retry/FleetRetries.java
@@ -28,8 +28,9 @@
 import org.landingtrack.internal.loads.Tally;
 
 /**
- * The retries that all VMs may have together, and what of them this one may use. What it knows of
- * the others is some tenths of a second old; without it each VM has its own part. Not thread-safe.
+ * A retry budget for each service that is shared by all VMs. Decides how much of it this VM may
+ * use. What it knows of other VMs is some tenths of a second old; without load reports each VM has
+ * its own share. Not thread-safe.
  */
 public final class FleetRetries {
   private final Ticker ticker;
@@ -42,11 +43,13 @@
   private final Map<String, Long> keys = new HashMap<>();
 
   /**
-   * Creates the budgets of a VM that just started.
+   * Creates the budgets of a VM that has just started.
    *
-   * @param vms how many VMs there are at most
-   * @param salt differs from VM to VM
-   * @param tally begins to tell what this VM counts, and returns the sums
+   * @param ticker the clock
+   * @param terms the size of the budgets
+   * @param vms returns an upper bound of the number of VMs
+   * @param salt a value that differs from VM to VM
+   * @param tally starts to report this VM's counts to the others, and returns the sums
    */
   public FleetRetries(
       Ticker ticker,
@@ -80,12 +83,12 @@
             new ServiceBudget(Hashes.placement(name), terms, startedAtMs, salt, ticker.millis()));
   }
 
-  /** Notes a request for a service. */
+  /** Counts a request to a service. */
   public void request(String service) {
     budget(service).request(ticker.millis());
   }
 
-  /** Takes one retry of a service; returns false if there is none now. */
+  /** Takes one retry from a service's budget; returns false if none is available now. */
   public boolean tryRetry(String service) {
     return budget(service).tryRetry(others(service), vms.getAsInt(), ticker.millis());
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/retry/RetryShares.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/retry/RetryShares.java
@@ -16,22 +16,35 @@
 package org.landingtrack.internal.retry;
 
 /**
- * Which part of the retries that are left to all VMs one of them may use in a slot of time. Pure.
+ * Computes how much of the remaining retry budget of all VMs one VM may use in a time slot.
+ * Stateless.
  *
- * <p>The load that it answers: a server fails, and all VMs want to send again at the same moment,
- * before they hear of each other's sends; or one VM alone wants to, and the rest have no need.
+ * <p>Handles two cases: a server fails and all VMs want to retry at the same moment, before they
+ * learn of each other's retries; or a single VM wants to retry and the others have no need.
  */
 final class RetryShares {
-  /** News of a send reach all VMs within 0.4 s, so that two slots pass unheard at most. */
+  /**
+   * Length of a slot. All VMs learn of a retry within 0.4 s, so that at most two slots pass without
+   * knowledge of it.
+   */
   static final long SLOT_MS = 600;
 
-  /** What all VMs may use of the room in a slot: two slots of it fit in. */
+  /**
+   * Share of the remaining budget that all VMs together may use in one slot, so that two slots fit
+   * in.
+   */
   private static final double SLOT_SHARE = 0.45;
 
-  /** The rest is for repeated calls of runs, which no VM can tell from others. */
+  /**
+   * Usable share of the budget. The rest covers repeated calls of runs, which no VM can tell from
+   * other requests.
+   */
   private static final double USED = 0.9;
 
-  /** Retries a second that a VM without any counts as having; it may have its first at once. */
+  /**
+   * Demand in retries a second that is assumed of a VM without any, so that it can send its first
+   * retry at once.
+   */
   private static final double FLOOR_NEED = 0.5;
 
   private RetryShares() {}
@@ -39,22 +52,22 @@
   /**
    * What is known of a service.
    *
-   * @param requests in the window, of the VMs that are heard
-   * @param spent retries that all may have sent in the window
-   * @param ownNeed retries a second that this VM wants, as the others know it
-   * @param allNeed those that all want
-   * @param heard VMs that are heard, this one among them
-   * @param vms how many there are at most
+   * @param requests the requests in the window, of the VMs that report
+   * @param spent the retries that all VMs may have sent in the window
+   * @param ownNeed the retries a second that this VM wants, as known to the others
+   * @param allNeed the retries a second that all VMs want
+   * @param heard the number of VMs that report, including this one
+   * @param vms an upper bound of the number of VMs
    */
   record View(double requests, double spent, double ownNeed, double allNeed, int heard, int vms) {}
 
-  /** Returns the retries that this VM may send in one slot, in the mean. */
+  /** Returns the mean number of retries that this VM may send in one slot. */
   static double inSlot(RetryTerms terms, View view) {
     double partOfExtra = Math.min(1, (double) view.heard() / view.vms());
     double budget = USED * (terms.share() * view.requests() + terms.extra() * partOfExtra);
-    double room = budget - view.spent() - Math.sqrt(view.heard());
+    double remaining = budget - view.spent() - Math.sqrt(view.heard());
     double need = view.ownNeed() + FLOOR_NEED;
     double all = Math.max(need, view.allNeed() + FLOOR_NEED * view.heard());
-    return Math.max(0, room) * SLOT_SHARE * need / all;
+    return Math.max(0, remaining) * SLOT_SHARE * need / all;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/retry/RetryTerms.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/retry/RetryTerms.java
@@ -16,10 +16,11 @@
 package org.landingtrack.internal.retry;
 
 /**
- * What all VMs together may send to a service beyond the first send of each request.
+ * The retry budget of a service: what all VMs together may send beyond the first attempt of each
+ * request.
  *
- * @param share for each request in the window
- * @param extra and so many more
- * @param windowMs any span of this length counts
+ * @param share the retries allowed for each request in the window
+ * @param extra the retries allowed in addition, whatever the number of requests
+ * @param windowMs the length of the sliding window; the budget holds for any span of this length
  */
 public record RetryTerms(double share, double extra, long windowMs) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/retry/ServiceBudget.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/retry/ServiceBudget.java
@@ -22,7 +22,7 @@
 import org.landingtrack.internal.loads.Tally;
 import org.landingtrack.internal.retry.RetryShares.View;
 
-/** The retries of one service, as this VM knows them. */
+/** The retry budget of one service, as known to this VM. Not thread-safe. */
 final class ServiceBudget {
   private static final long SECOND_MS = 1_000;
   private static final long COUNT_SLOT_MS = 250;
@@ -35,7 +35,7 @@
   private static final int INFORMED = 5;
   private static final int BELIEVED = 6;
 
-  /** This VM stood still if it was not asked what it counts for so long. */
+  /** This VM counts as having been suspended if its counts were not asked for during this time. */
   private static final long STILL_MS = 2_000;
 
   private final long service;
@@ -71,7 +71,7 @@
     requests.add(1, nowMs);
   }
 
-  /** Returns what this VM tells of the service in a round of news. */
+  /** Returns the counts of this VM for a round of load reports. */
   Tally tell(Tally others, long nowMs) {
     if (nowMs - toldAtMs > STILL_MS) {
       sinceMs = nowMs;
@@ -79,8 +79,8 @@
       spentByAll.clear();
     }
     toldAtMs = nowMs;
-    long want = wanted.atLeast(SECOND_MS, nowMs);
-    wantedTold.add(new Sample(nowMs, want));
+    long demand = wanted.atLeast(SECOND_MS, nowMs);
+    wantedTold.add(new Sample(nowMs, demand));
     wantedTold.removeIf(sample -> nowMs - sample.atMs() > RetryShares.SLOT_MS);
     rememberSpent(others, nowMs);
     inform(others, nowMs);
@@ -88,14 +88,17 @@
         service,
         requestsInWindow(nowMs),
         spent.atLeast(terms.windowMs(), nowMs),
-        want,
+        demand,
         spent.atLeast(SECOND_MS, nowMs),
         1,
         informed ? 1 : 0,
         informed ? believed(others, nowMs) : 0);
   }
 
-  /** Requests that are in part too old do not count, as spent retries do. */
+  /**
+   * Returns the requests in the window without those in a slot that is partly too old. Spent
+   * retries in such a slot do count, so that the budget errs on the low side.
+   */
   private long requestsInWindow(long nowMs) {
     return requests.atMost(terms.windowMs(), nowMs);
   }
@@ -112,30 +115,34 @@
   }
 
   /**
-   * A VM knows what was spent once it has run for a window, or hears what those believe that know.
+   * Marks this VM as informed once it knows how many retries were spent: after it has run for a
+   * whole window, or as soon as it receives the estimates of informed VMs.
    */
   private void inform(Tally others, long nowMs) {
-    long knowing = others.count(INFORMED);
-    if (informed || (knowing == 0 && nowMs - sinceMs <= terms.windowMs())) {
+    long informedVms = others.count(INFORMED);
+    if (informed || (informedVms == 0 && nowMs - sinceMs <= terms.windowMs())) {
       return;
     }
     informed = true;
     informedAtMs = nowMs;
-    inherited = knowing == 0 ? 0 : (others.count(BELIEVED) + knowing - 1) / knowing;
+    inherited = informedVms == 0 ? 0 : (others.count(BELIEVED) + informedVms - 1) / informedVms;
   }
 
-  /** What was spent by VMs that are no longer heard is remembered by the second. */
+  /**
+   * Returns an upper estimate of the retries that all VMs spent in the window. Retries of VMs that
+   * no longer report are remembered as one sample for each second.
+   */
   private long believed(Tally others, long nowMs) {
-    long told = others.count(SPENT) + spent.atLeast(terms.windowMs(), nowMs);
+    long reported = others.count(SPENT) + spent.atLeast(terms.windowMs(), nowMs);
     long remembered = spentLately(others, nowMs);
     for (Sample sample : spentByAll) {
       remembered += nowMs - sample.atMs() >= SECOND_MS ? sample.value() : 0;
     }
     boolean inherits = informed && nowMs - informedAtMs <= terms.windowMs();
-    return Math.max(told, remembered + (inherits ? inherited : 0));
+    return Math.max(reported, remembered + (inherits ? inherited : 0));
   }
 
-  /** Takes one retry; returns false if there is none now. */
+  /** Takes one retry; returns false if none is available now. */
   boolean tryRetry(Tally others, int vms, long nowMs) {
     wanted.add(1, nowMs);
     if (!hasRetry(others, vms, nowMs)) {
@@ -149,9 +156,9 @@
 
   /** Returns true if a retry would be granted now. */
   boolean hasRetry(Tally others, int vms, long nowMs) {
-    long now = Math.floorDiv(nowMs, RetryShares.SLOT_MS);
-    if (now != slot) {
-      slot = now;
+    long currentSlot = Math.floorDiv(nowMs, RetryShares.SLOT_MS);
+    if (currentSlot != slot) {
+      slot = currentSlot;
       usedInSlot = 0;
     }
     return usedInSlot < drawn(inSlot(others, vms, nowMs));
@@ -178,11 +185,15 @@
     return RetryShares.inSlot(terms, view);
   }
 
-  /** Own retries of this slot are in the room already, but not in what the slot began with. */
+  /**
+   * Rounds the mean allowance of a slot up or down at random, with the same draw during the whole
+   * slot. This VM's retries of the slot are already deducted from the remaining budget, but not
+   * from the allowance that the slot began with.
+   */
   private int drawn(double mean) {
     int whole = (int) mean;
-    double unit = Hashes.unit(Hashes.weight(Hashes.weight(salt, slot), service));
-    return unit < mean - whole ? whole + 1 : whole;
+    double draw = Hashes.unit(Hashes.weight(Hashes.weight(salt, slot), service));
+    return draw < mean - whole ? whole + 1 : whole;
   }
 
   long denied() {
--- a/landingtrack/src/main/java/org/landingtrack/internal/retry/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/retry/package-info.java
@@ -13,6 +13,6 @@
  * See the License for the specific language governing permissions and
  * limitations under the License.
  */
-/** Shares the retries that all VMs may have together. No I/O but by what is handed in. */
+/** Retry budgets that all VMs share. Does no I/O except through the objects passed in. */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.retry;
--- a/landingtrack/src/test/java/org/landingtrack/internal/admission/ConcurrencyLimitTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/admission/ConcurrencyLimitTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How the limit follows what requests wait at their servers. */
+/** Checks that the limit follows the time that requests wait at their servers. */
 public final class ConcurrencyLimitTest {
   private static final int LEAST = 3;
   private static final int MOST = 40;
@@ -30,7 +30,7 @@
   private final ConcurrencyLimit limit = new ConcurrencyLimit();
   private long now;
 
-  /** Requests run at the limit and all wait so long. */
+  /** Runs requests at the limit, all with the same wait. */
   private static void run(ConcurrencyLimit limit, double waitMs, int requests, long startMs) {
     for (int i = 0; i < requests; i++) {
       long sentMs = startMs + i * 50L;
@@ -42,7 +42,7 @@
   @DataProvider
   public Object[][] waits() {
     return new Object[][] {
-      // wait at the server, requests, least and most allowed afterwards
+      // wait at the server, requests, lowest and highest limit expected afterwards
       {0.0, 400, MOST, MOST},
       {100.0, 400, MOST, MOST},
       {2_000.0, 1_000, LEAST, LEAST},
@@ -65,7 +65,9 @@
     assertEquals(tested.between(LEAST, MOST), MOST);
   }
 
-  /** What was sent before a decrease says nothing about it; else one queue is punished twice. */
+  /**
+   * Requests sent before a decrease must not count against it, or one queue causes two decreases.
+   */
   @Test
   public void aDecreaseIsJudgedByWhatWasSentAfterIt() {
     observeMany(MOST, 0, 300);
--- a/landingtrack/src/test/java/org/landingtrack/internal/admission/ShareBookTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/admission/ShareBookTest.java
@@ -26,7 +26,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Shares of a team's limit follow its traffic; their sum keeps to the limit, also under faults. */
+/**
+ * Checks that the shares of a team's limit follow its traffic, and that their sum stays within the
+ * limit under faults as well.
+ */
 public final class ShareBookTest {
   private static final double RATE = 200;
   private static final int BURST = 8;
@@ -37,7 +40,7 @@
     NONE,
     /** The owner does not answer. */
     OWNER_GONE,
-    /** Another controller becomes the owner, with an empty book. */
+    /** Another controller becomes the owner and starts without records. */
     OWNER_CHANGES,
     /** Every other report or its answer is lost. */
     LOSSES
@@ -46,7 +49,7 @@
   @DataProvider
   public Object[][] traffic() {
     return new Object[][] {
-      // requests a second at each gateway, fault, least and most answered a second of the limit 200
+      // requests a second at each gateway, fault, least and most admitted a second (limit 200)
       {new double[] {400, 0, 0, 0}, Fault.NONE, 120.0, 125.0},
       {new double[] {400, 20, 20, 20}, Fault.NONE, 170.0, 200.0},
       {new double[] {400, 400, 400, 400}, Fault.NONE, 190.0, 205.0},
@@ -61,47 +64,47 @@
 
   @Test(dataProvider = "traffic")
   public void sharesFollowTheTrafficWithinTheLimit(
-      double[] asked, Fault fault, double least, double most) {
+      double[] requestRates, Fault fault, double least, double most) {
     FakeTicker ticker = new FakeTicker();
     List<TeamLimiter> gateways = new ArrayList<>();
-    for (int i = 0; i < asked.length; i++) {
+    for (int i = 0; i < requestRates.length; i++) {
       gateways.add(new TeamLimiter(ticker));
-      gateways.get(i).sharedBy(asked.length);
+      gateways.get(i).sharedBy(requestRates.length);
     }
     ShareBook book = new ShareBook();
     int seconds = 20;
-    int from = 10;
-    int answered = 0;
+    int warmUpSeconds = 10;
+    int admittedInAll = 0;
     for (int step = 0; step < seconds * STEPS_PER_S; step++) {
       ticker.pass(1_000 / STEPS_PER_S);
-      for (int i = 0; i < asked.length; i++) {
-        int let = send(gateways.get(i), asked[i], step);
-        answered += step >= from * STEPS_PER_S ? let : 0;
+      for (int i = 0; i < requestRates.length; i++) {
+        int admitted = send(gateways.get(i), requestRates[i], step);
+        admittedInAll += step >= warmUpSeconds * STEPS_PER_S ? admitted : 0;
       }
       if (step % (STEPS_PER_S / 2) == 0) {
         book = fault == Fault.OWNER_CHANGES && step % 300 == 0 ? new ShareBook() : book;
         report(gateways, book, fault, step / (STEPS_PER_S / 2), ticker.millis());
       }
     }
-    double perSecond = answered / (double) (seconds - from);
-    assertTrue(perSecond >= least && perSecond <= most, "answered a second: " + perSecond);
+    double perSecond = admittedInAll / (double) (seconds - warmUpSeconds);
+    assertTrue(perSecond >= least && perSecond <= most, "admitted a second: " + perSecond);
   }
 
   private static int send(TeamLimiter limiter, double perSecond, int step) {
     int due =
         (int) Math.floor(perSecond * (step + 1) / STEPS_PER_S)
             - (int) Math.floor(perSecond * step / STEPS_PER_S);
-    int let = 0;
+    int admitted = 0;
     for (int i = 0; i < due; i++) {
       try {
         limiter.enter("t", TEAM);
         limiter.leave("t");
-        let++;
+        admitted++;
       } catch (LandingtrackException e) {
         // Refused: the share is used up.
       }
     }
-    return let;
+    return admitted;
   }
 
   private static void report(
@@ -131,7 +134,7 @@
     assertEquals(book.report("t", "g0", 1, 2, start + ShareBook.VALID_MS), alone, 1e-9);
   }
 
-  /** The grants of the owner before may still be in use. */
+  /** Grants of the previous owner may still be in use. */
   @Test
   public void aNewOwnerLendsNothingYet() {
     ShareBook book = new ShareBook();
--- a/landingtrack/src/test/java/org/landingtrack/internal/admission/TeamLimiterTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/admission/TeamLimiterTest.java
@@ -33,22 +33,22 @@
     return new Object[][] {{1}, {2}, {4}, {8}};
   }
 
-  /** The sum over all gateways must not pass the team's limit. */
+  /** The sum over all gateways must not exceed the team's limit. */
   @Test(dataProvider = "gateways")
   public void theSharesOfAllGatewaysStayWithinTheLimit(int gateways) {
     Team team = new Team(List.of(), 80, 16, 1_000, 1);
-    int let = 0;
+    int admitted = 0;
     for (int g = 0; g < gateways; g++) {
       FakeTicker ticker = new FakeTicker();
       TeamLimiter limiter = new TeamLimiter(ticker);
       limiter.sharedBy(gateways);
       for (int ms = 0; ms < 10_000; ms++) {
         ticker.pass(1);
-        let += tryEnter(limiter, team) ? 1 : 0;
+        admitted += tryEnter(limiter, team) ? 1 : 0;
       }
     }
-    assertTrue(let <= 80 * 10 + 16 + gateways, let + " requests in 10 s");
-    assertTrue(let >= 80 * 10 * 0.95, let + " requests in 10 s");
+    assertTrue(admitted <= 80 * 10 + 16 + gateways, admitted + " requests admitted in 10 s");
+    assertTrue(admitted >= 80 * 10 * 0.95, admitted + " requests admitted in 10 s");
   }
 
   private static boolean tryEnter(TeamLimiter limiter, Team team) {
--- a/landingtrack/src/test/java/org/landingtrack/internal/retry/FleetRetriesTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/retry/FleetRetriesTest.java
@@ -29,16 +29,18 @@
 import org.testng.annotations.Test;
 
 /**
- * VMs that share one budget of retries, whose news are some tenths of a second old. Each VM had its
- * own: small ones lacked retries while those of others lay idle, and many that saved up some sent
- * more than all together may. What reaches the servers is counted in each sliding window.
+ * Checks a retry budget that is shared by VMs whose load reports are some tenths of a second old.
+ *
+ * <p>Guards against budgets of single VMs: small VMs lacked retries while the budgets of others
+ * were unused, and many VMs that had saved up retries together sent more than the budget of all.
+ * The retries that reach the servers are counted in each sliding window.
  */
 public final class FleetRetriesTest {
   private static final RetryTerms TERMS = new RetryTerms(0.2, 188, 10_000);
   private static final long WARM_UP_MS = 25_000;
   private static final String SERVICE = "service";
 
-  /** A fleet with callers, some of whose requests are to be sent again. */
+  /** A fleet with callers, some of whose requests are retried. */
   private static final class Fleet {
     private final ManualLoop loop = new ManualLoop();
     private final Random random;
@@ -49,7 +51,7 @@
     private double perSecond;
     private double failing;
 
-    /** The part of the requests that come to the first VM, besides its equal share. */
+    /** The share of requests that go to the first VM, in addition to its equal share. */
     private double toFirst;
 
     private IntPredicate failsAt = vm -> true;
@@ -104,7 +106,7 @@
       }
     }
 
-    /** For a while many requests under way fail at some VMs, and hardly any come. */
+    /** For a time, many running requests fail at some VMs while hardly any new ones arrive. */
     void failUnderWay(IntPredicate at, long forMs) {
       for (long ms = 0; ms < forMs; ms += 100) {
         for (int vm = 0; vm < vms.size(); vm++) {
@@ -130,7 +132,7 @@
       return count;
     }
 
-    /** Checks each window that ends with a retry. */
+    /** Checks the budget in each window that ends with a retry. */
     void expectBudgetKept(String what) {
       long windowMs = TERMS.windowMs();
       int first = 0;
@@ -155,7 +157,7 @@
     return new Object[][] {{1, 50}, {2, 100}, {3, 20}, {9, 300}, {20, 90}, {74, 423}, {300, 900}};
   }
 
-  /** Everything fails at once, and all VMs want to send again. */
+  /** Everything fails at once, and all VMs want to retry. */
   @Test(dataProvider = "fleets")
   public void aStormKeepsTheBudgetAndUsesHalfOfIt(int vms, double perSecond) {
     Fleet fleet = new Fleet(vms, perSecond, vms);
@@ -163,13 +165,13 @@
     long fromMs = fleet.loop.millis();
     fleet.loop.advance(20_000);
     fleet.expectBudgetKept(vms + " VMs");
-    // Over two windows each has its own share of the requests and the extra.
+    // Each of the two windows has its own share of the requests and its own extra.
     double budget = 2 * (TERMS.share() * perSecond * 10 + TERMS.extra());
     double asked = Math.min(budget, 20 * perSecond);
     assertTrue(fleet.spentSince(fromMs) >= asked / 2, fleet.spentSince(fromMs) + " of " + asked);
   }
 
-  /** One VM is before a server that fails, the others have no need of theirs. */
+  /** One VM uses a failing server; the others do not need their share. */
   @Test(dataProvider = "fleets")
   public void oneVmMayUseWhatOthersDoNotNeed(int vms, double perSecond) {
     Fleet fleet = new Fleet(vms, perSecond, vms);
@@ -183,7 +185,7 @@
     assertTrue(fleet.spentSince(fromMs) >= asked / 2, fleet.spentSince(fromMs) + " of " + asked);
   }
 
-  /** Most callers come to one VM, and it is before a server that fails. */
+  /** Most requests go to one VM, which uses a failing server. */
   @Test(dataProvider = "fleets")
   public void aBusyVmMayUseWhatOthersDoNotNeed(int vms, double perSecond) {
     Fleet fleet = new Fleet(vms, perSecond, vms);
@@ -198,7 +200,7 @@
     assertTrue(fleet.spentSince(fromMs) >= asked / 2, fleet.spentSince(fromMs) + " of " + asked);
   }
 
-  /** Callers come all at once and everything fails, before VMs hear of each other's retries. */
+  /** Many requests arrive at once and all fail, before the VMs learn of each other's retries. */
   @Test(dataProvider = "fleets")
   public void aBurstThatFailsKeepsTheBudget(int vms, double perSecond) {
     Fleet fleet = new Fleet(vms, perSecond / 5, vms);
@@ -217,7 +219,7 @@
     fleet.expectBudgetKept(vms + " VMs");
   }
 
-  /** All VMs lose power after they spent what they may, and everything fails again later. */
+  /** All VMs lose power after they have spent the budget, and everything fails again later. */
   @Test
   public void whatWasSpentAtOnceIsNotSpentAgainAfterARestart() {
     Fleet fleet = new Fleet(40, 60, 14);
@@ -227,7 +229,7 @@
     }
     fleet.loop.advance(5_500);
     fleet.failUnderWay(vm -> true, 1_500);
-    fleet.expectBudgetKept("after a restart of all");
+    fleet.expectBudgetKept("after a restart of all VMs");
   }
 
   @Test
@@ -239,10 +241,10 @@
     }
     fleet.loop.advance(1_000);
     fleet.failUnderWay(vm -> vm >= 20, 3_000);
-    fleet.expectBudgetKept("others after VMs fell silent");
+    fleet.expectBudgetKept("other VMs after some stopped reporting");
   }
 
-  /** Those that sent again are cut off, and from then on the others want to. */
+  /** The VMs that have retried are cut off, and then the others want to retry. */
   @Test
   public void whatSilentVmsSpentIsNotSpentAgain() {
     Fleet fleet = new Fleet(40, 300, 13);
@@ -254,10 +256,10 @@
     }
     fleet.failsAt = vm -> vm >= 20;
     fleet.loop.advance(15_000);
-    fleet.expectBudgetKept("others after VMs fell silent");
+    fleet.expectBudgetKept("other VMs after some stopped reporting");
   }
 
-  /** One request in a hundred fails on a calm day: each should be sent again at once. */
+  /** One request in a hundred fails in normal operation: each should be retried at once. */
   @Test
   public void rareFailuresAreSentAgain() {
     Fleet fleet = new Fleet(74, 423, 5);
@@ -274,7 +276,7 @@
     return new Object[][] {{2_000}, {5_000}};
   }
 
-  /** All lose power while they send again as much as they may, and start with nothing. */
+  /** All VMs lose power while they spend the whole budget, and restart without state. */
   @Test(dataProvider = "storms")
   public void whatWasSpentBeforeARestartIsNotSpentAgain(long stormMs) {
     Fleet fleet = new Fleet(74, 423, 6);
@@ -284,8 +286,10 @@
       fleet.restart(i);
     }
     fleet.loop.advance(30_000);
-    fleet.expectBudgetKept("after a restart of all");
-    assertTrue(fleet.spentSince(fleet.loop.millis() - 10_000) > 300, "it is used again");
+    fleet.expectBudgetKept("after a restart of all VMs");
+    assertTrue(
+        fleet.spentSince(fleet.loop.millis() - 10_000) > 300,
+        "the budget is not used again after the restart");
   }
 
   @Test
@@ -297,10 +301,12 @@
       fleet.restart(i);
     }
     fleet.loop.advance(15_000);
-    fleet.expectBudgetKept("restarts in turn");
+    fleet.expectBudgetKept("VMs restart one after the other");
   }
 
-  /** VMs that restart in turn tell each other what was spent: none has to wait for a window. */
+  /**
+   * VMs that restart in turn tell each other what was spent, so that none waits for a whole window.
+   */
   @Test
   public void aVmThatStartsAmongOthersSendsAgainSoon() {
     Fleet fleet = new Fleet(3, 60, 12);
@@ -335,7 +341,7 @@
       fleet.vms.get(i).cut(15_000, 1 + i % 2);
     }
     fleet.loop.advance(30_000);
-    fleet.expectBudgetKept("two halves");
+    fleet.expectBudgetKept("fleet split in two halves");
   }
 
   @Test
@@ -347,7 +353,7 @@
       fleet.vms.get(i).standStill(1_000 + 200L * (i % 20));
     }
     fleet.loop.advance(15_000);
-    fleet.expectBudgetKept("VMs stand still");
+    fleet.expectBudgetKept("VMs are suspended in turn");
   }
 
   @Test
