--- a/landingtrack/src/main/java/org/landingtrack/internal/admission/ConcurrencyLimit.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/admission/ConcurrencyLimit.java
@@ -30,7 +30,7 @@
   /** Time that a request may wait at its server, whatever its own work. */
   private static final double TOLERATED_MS = 50;
 
-  /** Further tolerated wait, as a multiple of the request's own work. */
+  /** A request may also wait for the time of this many requests of its own size. */
   private static final double TOLERATED_WORKS = 3;
 
   private double limit = Double.MAX_VALUE;
--- a/landingtrack/src/main/java/org/landingtrack/internal/admission/ShareBook.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/admission/ShareBook.java
@@ -20,7 +20,7 @@
 import java.util.Map;
 
 /**
- * Divides teams' limits between gateways. Each team has one owner that keeps its state; does no
+ * Divides teams' limits between gateways. The owner of a team keeps the team's state here. Does no
  * I/O.
  *
  * <p>A gateway without a grant from the owner uses an equal share. Gateways report a team only
@@ -37,8 +37,8 @@
   static final long VALID_MS = 3_000;
 
   /**
-   * Each reporting gateway gets at least the share for this fraction of an equal share, so that its
-   * traffic can grow.
+   * Added to each reporting gateway's demand, as a fraction of an equal share, so that its traffic
+   * can grow.
    */
   private static final double SMALLEST_WANT = 0.1;
 
