--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/AdmissionGate.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/AdmissionGate.java
@@ -26,8 +26,8 @@
 import org.landingtrack.internal.serving.ServiceInfo.EngineInfo;
 
 /**
- * Asks {@link FleetAdmission} about the requests of this VM, and tells it what the VM sees. Runs on
- * the event loop.
+ * Connects the requests of this VM to {@link FleetAdmission}: asks it whether to admit them, and
+ * gives it the demand and the load that this VM sees. Used on the event loop only.
  */
 final class AdmissionGate implements ServiceView {
   private final ServingState state;
@@ -36,9 +36,10 @@
   private final FleetAdmission admission;
 
   /**
-   * Creates a gate.
+   * Creates admission control for one VM.
    *
-   * @param isOn false if it lets all in, and the VM tells nothing of its requests
+   * @param salt differs from VM to VM and from start to start
+   * @param isOn false to admit everything, and to publish nothing about the requests of this VM
    */
   AdmissionGate(
       EventLoop loop,
@@ -52,12 +53,12 @@
     this.isOn = isOn;
     this.admission = new FleetAdmission(loop, salt, this, log::admission);
     if (isOn) {
-      FleetTallies sums = state.tally(TallyTopic.SERVICES, admission::tallies);
-      admission.others(sums::others);
+      FleetTallies tallies = state.tally(TallyTopic.SERVICES, admission::tallies);
+      admission.others(tallies::others);
     }
   }
 
-  /** Returns whether a request that has just come is let in. */
+  /** Decides whether to admit a new request. Resumed streams are always admitted. */
   Verdict decide(RequestRun run, Route route, long leftMs) {
     CallerRequest request = run.request();
     boolean isResumed = request.resumeAfter() != null;
@@ -76,12 +77,15 @@
             leftMs));
   }
 
-  /** Returns true if what is let in waits on, whatever this VM expects. */
+  /**
+   * Returns true if admission control is on. Requests that it admitted stay queued, whatever wait
+   * this VM expects for them.
+   */
   boolean isOn() {
     return isOn;
   }
 
-  /** Notes a request that was sent to an engine, which begins it at once. */
+  /** Records a request that was sent to an engine; engines start requests at once. */
   void sent(RequestRun run) {
     if (isOn && hasEngines(run.service())) {
       admission.began(run.service(), run.size());
@@ -89,7 +93,8 @@
   }
 
   /**
-   * Notes an answer; other servers than engines queue requests, so only that tells of their work.
+   * Records a response. Servers other than engines queue requests, so only responses show how much
+   * work they get done.
    */
   void answered(RequestRun run) {
     if (isOn && !hasEngines(run.service())) {
@@ -117,7 +122,7 @@
     return config == null ? 0 : config.leastTargetMs(service);
   }
 
-  /** What waits at the servers is before all that waits here, so it counts as the most urgent. */
+  /** Counts requests queued at servers as the most urgent: they come before all queued here. */
   @Override
   public long waiting(String service, int rank) {
     long here = waiting.sizes(run -> !run.isLate() && rank(run) == rank && isOf(run, service));
@@ -143,19 +148,19 @@
     if (info == null || isBlind(service)) {
       return info == null ? 0 : 1;
     }
-    double taken = 0;
+    double sum = 0;
     List<Backend> servers = servers(service);
     for (Backend backend : servers) {
-      taken += Math.min(1, takenShare(backend, info));
+      sum += Math.min(1, takenShare(backend, info));
     }
-    return servers.isEmpty() ? 0 : taken / servers.size();
+    return servers.isEmpty() ? 0 : sum / servers.size();
   }
 
   private List<Backend> servers(String service) {
     return state.servers().usable(service, each -> true, false);
   }
 
-  /** Returns this VM's part of what servers have beyond their places or memory. */
+  /** Returns this VM's part of the requests that servers have beyond their slots or KV cache. */
   private long queued(String service) {
     ServiceInfo info = info(service);
     if (info == null) {
@@ -170,9 +175,9 @@
 
   private long queued(Backend backend) {
     long running = running(backend);
-    long places = backend.entry().slots();
-    boolean isQueued = places > 0 && running > places;
-    return isQueued ? RequestRun.PLAIN_SIZE * backend.inFlight() * (running - places) / running : 0;
+    long slots = backend.entry().slots();
+    boolean isQueued = slots > 0 && running > slots;
+    return isQueued ? RequestRun.PLAIN_SIZE * backend.inFlight() * (running - slots) / running : 0;
   }
 
   private long queued(Backend backend, EngineInfo engine) {
@@ -181,22 +186,28 @@
     return beyond <= 0 ? 0 : backend.heldTokens() * beyond / held;
   }
 
-  /** What others have at the servers is not known: that requests wait here says enough. */
+  /**
+   * Returns true if the service counts as full because the load of some VMs is unknown: then queued
+   * requests here are the only sign of a shortage.
+   */
   private boolean isBlind(String service) {
     return state.peerLoads().unheardVms() > 0 && waiting.sizes(run -> isOf(run, service)) > 0;
   }
 
-  /** A server that named a limit takes no more than that, however much of it is free. */
+  /**
+   * Returns the used share of a server. One that set a rate limit counts as full: it takes no more
+   * than that, however much of its capacity is free.
+   */
   private double takenShare(Backend backend, ServiceInfo info) {
     if (state.limits().find(backend.startHash()) != null) {
       return 1;
     }
     int slots = backend.entry().slots();
-    double places = slots <= 0 ? 0 : (double) running(backend) / slots;
+    double slotShare = slots <= 0 ? 0 : (double) running(backend) / slots;
     if (info.engine() == null) {
-      return places;
+      return slotShare;
     }
-    return Math.max(places, (double) held(backend) / Math.max(1, info.engine().cacheTokens()));
+    return Math.max(slotShare, (double) held(backend) / Math.max(1, info.engine().cacheTokens()));
   }
 
   private long held(Backend backend) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Attempt.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Attempt.java
@@ -25,8 +25,9 @@
 import org.landingtrack.internal.serving.ServerChooser.Choice;
 
 /**
- * One send to one backend server. It keeps the account of what the server has under way, and tells
- * its request of what comes back, at most until it is over or cancelled.
+ * One attempt to run a request at one backend server. It keeps the counts of work under way at the
+ * server up to date, and reports the outcome to its {@link Outcome} until it is over or cancelled.
+ * Used on the event loop only.
  */
 final class Attempt implements BackendTransport.Listener {
   private final CallerRequest request;
@@ -44,26 +45,27 @@
   private long sentAtMs;
   private boolean over;
 
-  /** Hears what becomes of a send. */
+  /** Receives the events of an attempt. */
   interface Outcome {
-    /** The server did not run the request and never will. The send is over. */
+    /** The server did not run the request and never will. The attempt is over. */
     void notRun(Attempt sent, NotRunReason reason, String why);
 
-    /** The server says something of itself, as it does at the head of each answer. */
+    /** The head of the response holds a notice of the server about its own state. */
     void noticed(Attempt sent, ServerNotice notice);
 
-    /** The answer is a stream. */
+    /** The head of a streamed response arrived. */
     void streamStarts(AnswerHead head);
 
+    /** An event of a streamed response arrived. */
     void event(StreamEvent event);
 
-    /** The answer is whole. The send is over. */
+    /** The response is complete. The attempt is over. */
     void ended(Attempt sent, AnswerHead answer, byte[] body);
 
-    /** The server may have run the request or still run it. The send is over. */
+    /** The attempt failed, and the server may have run the request or still run it. It is over. */
     void broken(Attempt sent, String why);
 
-    /** The server had not begun in its time, and was told to leave it. The send is over. */
+    /** The server had not started the request in time, so it was cancelled there. It is over. */
     void withdrawn(Attempt sent);
   }
 
@@ -85,7 +87,8 @@
   /**
    * Sends the request.
    *
-   * @param mayBeginMs how long from now the server may begin it; what has begun goes on
+   * @param mayBeginMs the time from now within which the server must start to respond, or the
+   *     attempt is withdrawn; a response that has started goes on
    */
   void start(BackendTransport transport, BackendCall call, long mayBeginMs) {
     sentAtMs = loop.millis();
@@ -98,7 +101,10 @@
     exchange = transport.send(call, this);
   }
 
-  /** Only engines are timed: what a plain server's answer takes is its own work. */
+  /**
+   * Records the attempt for the latency estimate of an engine. Plain servers are not timed: how
+   * long they take depends on the work of each request.
+   */
   private void noteSent() {
     Prompt prompt = request.prompt();
     if (prompt == null || plan.cacheTokens() == 0) {
@@ -116,7 +122,10 @@
             loop.millis());
   }
 
-  /** A server begins with the head of its answer; until then a closed connection ends its wait. */
+  /**
+   * Cancels the attempt if the server has not sent the head of its response. Until then, closing
+   * the connection takes the request out of the server's queue.
+   */
   private void withdrawUnbegun() {
     if (head == null && !over) {
       cancel();
@@ -128,12 +137,12 @@
     return plan.backend();
   }
 
-  /** Returns true if the send tries a server that is ejected. */
+  /** Returns true if the attempt probes an ejected server. */
   boolean isProbe() {
     return plan.probe();
   }
 
-  /** Returns true if the server began to answer. */
+  /** Returns true if the head of the response arrived. */
   boolean hasBegun() {
     return head != null;
   }
@@ -142,20 +151,22 @@
     return plan.backend().entry().id();
   }
 
-  /** Breaks the send off; nothing is heard of it any more. */
+  /** Cancels the attempt; its listener receives nothing more. */
   void cancel() {
     if (close() && exchange != null) {
       exchange.cancel();
     }
   }
 
-  /** Breaks the send off as if its connection had: the server may have run the request. */
+  /** Fails the attempt as if its connection had broken: the server may have run the request. */
   void breakOff(String why) {
     cancel();
     outcome.broken(this, why);
   }
 
-  /** Notes that the server answered well: it is sound, and keeps the prompt's parts. */
+  /**
+   * Records a successful response: the server is healthy, and has cached the parts of the prompt.
+   */
   void succeeded() {
     plan.backend().succeeded(loop.millis());
     Prompt prompt = request.prompt();
@@ -165,9 +176,10 @@
   }
 
   /**
-   * Notes that the server has other weights than it was asked for: newer ones if those were older,
-   * and otherwise not the newest yet. Taking it to have the newest all the same had it asked over
-   * and over again: 2,708 refusals on a day when engines loaded late.
+   * Records that the server does not have the requested weight version. If an older version than
+   * the newest one was requested, the server has the newest; otherwise it has not loaded the newest
+   * yet. When it was assumed to have the newest in both cases, requests went to the same server
+   * again and again: 2,708 refusals in a day on which engines loaded late.
    */
   void refusedWeights(ServingState state) {
     Prompt prompt = request.prompt();
@@ -182,7 +194,7 @@
     }
   }
 
-  /** Closes the account of this send; returns false if it was closed before. */
+  /** Ends the counts of this attempt at the server; returns false if they had already ended. */
   private boolean close() {
     if (over) {
       return false;
@@ -218,7 +230,7 @@
     }
   }
 
-  /** Returns when the request was sent. */
+  /** Returns when the request was sent, on the event loop's clock. */
   long sentAtMs() {
     return sentAtMs;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/BackendTransport.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/BackendTransport.java
@@ -22,34 +22,35 @@
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
 
-/** Sends requests to backend servers. Called and calling back on the event loop only. */
+/** Sends requests to backend servers. Methods and callbacks run on the event loop only. */
 public interface BackendTransport {
-  /** Sends a call; the listener hears of it until one of its ends, or until it is cancelled. */
+  /** Sends a call. The listener is called until the call is over or cancelled. */
   Exchange send(BackendCall call, Listener listener);
 
   /**
    * Opens a connection to an address and closes it again.
    *
-   * @param refused hears whether the address refused it: nobody listens there any more
+   * @param refused receives true if the connection was refused: no server listens there any more
    */
   void probe(String address, Consumer<Boolean> refused);
 
-  /** Forgets connections to a server that is gone. */
+  /** Drops the connections to a server that is gone. */
   void forget(String serverId);
 
   /**
-   * One send of a request to one backend server.
+   * One attempt to run a request at one backend server.
    *
-   * @param serverId the start of the server that is meant; any other refuses
-   * @param leftMs how long the server may work on it
-   * @param team name of the team that owns the caller's key, or null
-   * @param priority 0 is the most urgent; -1 to leave it to the server
-   * @param cacheScope kept parts are shared only between calls of the same scope; empty if the
+   * @param serverId the server instance that is meant; any other one refuses the call
+   * @param leftMs the time until the deadline, which the server is given
+   * @param team the name of the team that owns the caller's key, or null
+   * @param priority the priority, 0 being the most urgent; -1 to leave it to the server
+   * @param cacheScope the scope within which calls share cached parts of prompts; empty if the
    *     request has no prompt
-   * @param moves parts of the prompt that the server fetches and saves
-   * @param weightVersion the version that the server must have, or empty
-   * @param resumeAfter id of the last event that the caller already has, or null
-   * @param mayStillGo asked once more right before the call is sent, after its connection came up
+   * @param moves the parts of the prompt that the server fetches and saves
+   * @param weightVersion the version of the weights that the server must have, or empty
+   * @param resumeAfter the id of the last event that the caller already has, or null
+   * @param mayStillGo checked once the connection is open, right before the call is written; false
+   *     to recall it
    */
   record BackendCall(
       CallerRequest request,
@@ -65,34 +66,34 @@
       @Nullable String resumeAfter,
       BooleanSupplier mayStillGo) {}
 
-  /** A call under way. */
+  /** A handle of a call under way. */
   @FunctionalInterface
   interface Exchange {
-    /** Breaks the call off; the server notices by its connection. The listener hears no more. */
+    /** Cancels the call by closing its connection. The listener is not called any more. */
     void cancel();
   }
 
-  /** Why a call certainly did not run. */
+  /** The reason why a call certainly did not run. */
   enum NotRunReason {
-    /** No connection came up. */
+    /** No connection could be opened. */
     NO_CONNECTION,
-    /** The server is full, or the deadline passed in its queue. */
+    /** The server had no capacity, or the deadline passed in its queue. */
     FULL,
-    /** Another start of the server, or another server, has the address. */
+    /** Another instance of the server, or another server, has the address. */
     OTHER_SERVER,
-    /** The server asked for less meanwhile, before anything was sent. */
+    /** Before anything was sent, the server asked for fewer requests or a rest. */
     RECALLED,
     /** The server has other weights. */
     OTHER_VERSION,
     /** The server refused the request itself. */
     REFUSED,
-    /** Its time was over before it could be sent. */
+    /** The deadline passed before the call could be sent. */
     TOO_LATE
   }
 
-  /** An event of a stream; {@code id} is empty for one without. */
+  /** An event of a stream; {@code id} is empty if it has none. */
   record StreamEvent(String id, byte[] bytes) {
-    /** Returns false if a caller that has {@code last} has this event: ids of events rise. */
+    /** Returns true if the event follows the one with id {@code last}; numeric ids increase. */
     boolean isAfter(@Nullable String last) {
       if (last == null) {
         return true;
@@ -106,10 +107,10 @@
   }
 
   /**
-   * The head of an answer.
+   * The head of a response.
    *
-   * @param isStream true if the body is a series of events
-   * @param weightVersion the version of the weights that answer, or empty
+   * @param isStream true if the body is an event stream
+   * @param weightVersion the version of the weights that the server used, or empty
    */
   record AnswerHead(
       int status, List<Header> headers, boolean isStream, OptionalLong weightVersion) {
@@ -117,35 +118,35 @@
     private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
     private static final int FIRST_SERVER_ERROR = 500;
 
-    /** Returns true if the server says that it failed. */
+    /** Returns true if the status is a server error. */
     boolean isServerError() {
       return status >= FIRST_SERVER_ERROR;
     }
 
-    /** Returns true if callers read this status as "did not run and never will". */
+    /** Returns true if callers take this status to mean "did not run and never will". */
     boolean promisesNotRun() {
       return PROMISES.contains(status);
     }
   }
 
-  /** What becomes of a call. One of {@code notRun}, {@code ended} and {@code broken} is last. */
+  /** Receives the events of a call. The last is one of those that say that the call is over. */
   interface Listener {
-    /** The call certainly did not run and never will. */
+    /** The call certainly did not run and never will. It is over. */
     void notRun(NotRunReason reason, String why);
 
-    /** The server says something of itself in an answer to this call; its answer follows. */
+    /** The response holds a notice of the server about its own state; its head follows. */
     void noticed(ServerNotice notice);
 
-    /** The head of an answer to this call came. */
+    /** The head of the response arrived. */
     void head(AnswerHead head);
 
-    /** A whole event of a stream came. */
+    /** A complete event of a stream arrived. */
     void event(StreamEvent event);
 
-    /** The answer is whole; {@code body} is empty for a stream. */
+    /** The response is complete; {@code body} is empty for a stream. The call is over. */
     void ended(byte[] body);
 
-    /** The connection broke, or what came is no answer: the call may have run. */
+    /** The connection broke or the response is invalid: the call may have run. It is over. */
     void broken(String why);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerAnswer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerAnswer.java
@@ -21,8 +21,9 @@
 import org.landingtrack.internal.serving.BackendTransport.StreamEvent;
 
 /**
- * What a caller has got of the answer to its request so far. A stream may go on at another server:
- * its caller gets one head, and each event once.
+ * Writes the response to one request to its caller, and keeps track of what the caller has
+ * received. A stream may be resumed at another server; its caller gets one head, and each event
+ * once. Used on the event loop only.
  */
 final class CallerAnswer {
   private final CallerRequest request;
@@ -39,21 +40,27 @@
     this.lastEventId = request.resumeAfter();
   }
 
-  /** Returns true if the caller has the head of a stream: no other status can follow. */
+  /**
+   * Returns true if the head of a stream was sent to the caller, so that no other status can be.
+   */
   boolean hasBegunStream() {
     return streamBegun;
   }
 
-  /** Returns the id of the last event that the caller has, or null. */
+  /** Returns the id of the last event that was sent to the caller, or null. */
   @Nullable String lastEventId() {
     return lastEventId;
   }
 
-  /** Returns how long after the request came its answer began; -1 if it did not. */
+  /**
+   * Returns the time from receipt of the request to the first event or the whole body of the
+   * response, in milliseconds; -1 if neither has come.
+   */
   long firstMs() {
     return firstMs;
   }
 
+  /** Sends the head of a stream, unless the caller has one already. */
   void startStream(AnswerHead head) {
     if (!streamBegun) {
       streamBegun = true;
@@ -61,7 +68,7 @@
     }
   }
 
-  /** Passes an event on, unless the caller has it already. */
+  /** Forwards an event, unless the caller has it already. */
   void event(StreamEvent event) {
     noteFirst();
     if (!event.id().isEmpty()) {
@@ -73,31 +80,32 @@
     sink.event(event.bytes());
   }
 
-  /** Notes that the answer begins now, if it did not before. */
+  /** Records the time of the first event or body, if none has come before. */
   void noteFirst() {
     if (firstMs < 0) {
       firstMs = loop.millis() - request.receivedAtMs();
     }
   }
 
-  /** Ends it with the whole answer of a server. */
+  /** Completes the response with that of a server. */
   void end(AnswerHead answer, byte[] body) {
     if (answer.isStream()) {
       sink.endStream();
     } else if (answer.promisesNotRun()) {
-      // The server ran it, so this status would be untrue from us.
-      sink.refuse(ErrorKind.FAILED_IN_RUN, "the server answered " + answer.status(), 0);
+      // The server ran the request, but callers would take this status to mean that it did not run.
+      sink.refuse(
+          ErrorKind.FAILED_IN_RUN, "the server responded with status " + answer.status(), 0);
     } else {
       sink.answer(answer.status(), answer.headers(), body);
     }
   }
 
-  /** Ends it with an answer of landingtrack's own; nothing was answered yet. */
+  /** Responds with an error of landingtrack itself. Must not follow the head of a stream. */
   void refuse(ErrorKind kind, String why, long retryAfterMs) {
     sink.refuse(kind, why, retryAfterMs);
   }
 
-  /** Breaks a stream off. */
+  /** Aborts a stream, so that the caller does not take it for complete. */
   void abort() {
     sink.abort();
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerLimits.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerLimits.java
@@ -15,9 +15,12 @@
  */
 package org.landingtrack.internal.serving;
 
-/** What a caller may send, in bytes, and how long it may take or be idle, in milliseconds. */
+/**
+ * Limits on callers: the largest header and body in bytes, how long the header may take to arrive,
+ * and how long a connection may be idle, in milliseconds.
+ */
 public record CallerLimits(
     int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMs, long idleTimeoutMs) {
-  /** Until a configuration is known. */
+  /** The limits before a configuration is loaded. */
   public static final CallerLimits DEFAULT = new CallerLimits(16_384, 4_194_304, 3_000, 15_000);
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerRequest.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerRequest.java
@@ -19,16 +19,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A whole request as it was read from a caller.
+ * A complete request of a caller, with its body.
  *
- * @param id the id of this try of the caller
- * @param target path and query, unchanged
- * @param headers what is passed on as it came
- * @param deadlineMs how long the caller waits, from {@code receivedAtMs}; 0 if it did not say
- * @param key the caller's key, or null
- * @param prompt what the caller tells of its prompt, or null for a plain service
- * @param resumeAfter id of the last event that the caller has of this stream, or null
- * @param receivedAtMs when the head of the request was read, on the event loop's clock
+ * @param id the id of the request; a new one each time the caller sends it
+ * @param target the path and query, unchanged
+ * @param headers the headers that are forwarded unchanged
+ * @param deadlineMs how long the caller waits, from {@code receivedAtMs}; 0 if not given
+ * @param key the API key of the caller, or null
+ * @param prompt the description of the prompt, or null for a plain service
+ * @param resumeAfter the id of the last event that the caller has of a stream to resume, or null
+ * @param receivedAtMs when the headers were read, on the event loop's clock
  */
 public record CallerRequest(
     String id,
@@ -49,7 +49,7 @@
     return end < 0 ? target : target.substring(0, end);
   }
 
-  /** Returns what decides the part of a split: requests of one session go to the same one. */
+  /** Returns the key of the traffic split: all requests of a session go to the same target. */
   String splitKey() {
     return prompt == null ? id : prompt.sessionKey();
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerSink.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerSink.java
@@ -18,27 +18,30 @@
 import java.util.List;
 import org.landingtrack.ErrorKind;
 
-/** Where the answer to one request goes. Exactly one of the ways to end is used, once. */
+/**
+ * Receives the response to one request. Exactly one of {@link #answer}, {@link #refuse}, {@link
+ * #endStream} and {@link #abort} is called last, once.
+ */
 public interface CallerSink {
-  /** Answers as a backend server did, whole. */
+  /** Sends the complete response of a backend server. */
   void answer(int status, List<Header> headers, byte[] body);
 
   /**
-   * Answers with an error of landingtrack's own.
+   * Sends an error of landingtrack itself.
    *
-   * @param retryAfterMs when to come back; 0 if that does not help
+   * @param retryAfterMs the delay after which the caller should retry; 0 if a retry does not help
    */
   void refuse(ErrorKind kind, String why, long retryAfterMs);
 
-  /** Begins a stream with the head of the backend server's answer. */
+  /** Starts a stream with the status and headers of the backend server. */
   void startStream(int status, List<Header> headers);
 
-  /** Passes on one whole event. */
+  /** Sends one complete event of a stream. */
   void event(byte[] bytes);
 
-  /** Ends a stream that is complete. */
+  /** Ends a stream as complete. */
   void endStream();
 
-  /** Breaks off so that what was sent does not look complete. */
+  /** Aborts the response, so that the caller does not take it for complete. */
   void abort();
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/EventLoop.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/EventLoop.java
@@ -17,18 +17,18 @@
 
 import org.landingtrack.internal.base.Ticker;
 
-/** The one thread on which requests are served, with its clock. Tests give a fake one. */
+/** The single thread on which requests are served, with its clock. Tests use a manual one. */
 public interface EventLoop extends Ticker {
-  /** Runs a task on the loop after a delay in milliseconds. */
+  /** Runs a task on the loop after a delay in milliseconds. Call it on the loop only. */
   Timer schedule(long delayMs, Runnable task);
 
-  /** Runs a task on the loop soon. Safe to call from any thread. */
+  /** Queues a task to run on the loop. Safe to call from any thread. */
   void execute(Runnable task);
 
-  /** A task that has not run yet. */
+  /** A handle of a scheduled task. */
   @FunctionalInterface
   interface Timer {
-    /** Does nothing if the task ran. */
+    /** Cancels the task; has no effect if it has run. */
     void cancel();
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Header.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Header.java
@@ -15,5 +15,5 @@
  */
 package org.landingtrack.internal.serving;
 
-/** One header line of a request or an answer. */
+/** A header field of a request or a response. */
 public record Header(String name, String value) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Mechanism.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Mechanism.java
@@ -16,17 +16,20 @@
 package org.landingtrack.internal.serving;
 
 /**
- * A mechanism for hard load that operators may switch off by the setting {@code mechanisms.off}, if
- * it misjudges their load. Each acts only where the configuration and the load call for it.
+ * A mechanism for overload and failures. Operators can turn it off with the setting {@code
+ * mechanisms.off} if it misjudges their load. Each acts only where the configuration and the load
+ * call for it.
  */
 public enum Mechanism {
-  /** Admits, delays or refuses requests by the demand and the room of a service over all VMs. */
+  /** Admits, delays or refuses requests by the demand for a service and its capacity on all VMs. */
   FLEET_ADMISSION("fleetAdmission"),
-  /** Judges backend servers by the outcomes that all VMs see. */
+  /** Ejects backend servers by the outcomes of requests that all VMs see. */
   SHARED_HEALTH("sharedHealth"),
-  /** Shares a service's retries over all VMs by what each needs. */
+  /** Shares the retry budget of a service among all VMs by need. */
   FLEET_RETRIES("fleetRetries"),
-  /** Bounds what a VM holds for slow callers and servers, and takes on no more than it can do. */
+  /**
+   * Bounds the buffers of a VM for slow callers and servers, and sheds load that it cannot serve.
+   */
   VM_PROTECTION("vmProtection");
 
   private final String text;
@@ -35,18 +38,20 @@
     this.text = text;
   }
 
-  /** Returns the name in settings, logs and metrics. */
+  /** Returns the name that settings, logs and metrics use. */
   public String text() {
     return text;
   }
 
-  /** Returns the mechanism of a name in settings. */
+  /** Returns the mechanism with a name in settings. */
   public static Mechanism of(String text) {
     for (Mechanism mechanism : values()) {
       if (mechanism.text.equals(text)) {
         return mechanism;
       }
     }
-    throw new IllegalArgumentException("no mechanism " + text);
+    throw new IllegalArgumentException(
+        "mechanism must be fleetAdmission, sharedHealth, fleetRetries or vmProtection, but is "
+            + text);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Prompt.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Prompt.java
@@ -18,21 +18,21 @@
 import java.util.List;
 
 /**
- * What the caller tells about the prompt of a request to a model engine.
+ * Describes the prompt of a request to a model engine, as given by the caller.
  *
- * @param model the model that is to answer
- * @param maxOutputTokens the most tokens that it may generate
- * @param parts the prompt's parts in order; the last one belongs to this request or its session
+ * @param model the name of the model
+ * @param maxOutputTokens the most tokens that the model may generate
+ * @param parts the parts of the prompt in order; the last one is not shared with other sessions
  */
 public record Prompt(String model, int maxOutputTokens, List<Part> parts) {
   public Prompt {
     parts = List.copyOf(parts);
   }
 
-  /** A part of a prompt with a key that is the same wherever its content is. */
+  /** A part of a prompt. Equal content has the same key in all prompts. */
   public record Part(String key, int tokens) {}
 
-  /** Returns the tokens of all parts. */
+  /** Returns the number of tokens of all parts. */
   public int tokens() {
     int sum = 0;
     for (Part part : parts) {
@@ -41,7 +41,7 @@
     return sum;
   }
 
-  /** Returns the most memory of an engine that the request takes, in tokens. */
+  /** Returns the most KV cache that the request takes at an engine, in tokens. */
   public long memoryTokens() {
     return (long) tokens() + maxOutputTokens;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/RequestRun.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/RequestRun.java
@@ -27,15 +27,16 @@
 import org.landingtrack.internal.serving.SendPlanner.SendPlan;
 
 /**
- * One request of a caller, from its route to the end of its answer. It is sent to one backend
- * server at a time. What may have run is sent again only if the route allows it; "not run" is said
- * only if no send is in doubt.
+ * Processes one request of a caller, from route lookup to the end of its response. A request is
+ * sent to one backend server at a time. After an attempt that may have run, it is retried only if
+ * the route allows that, and the caller is told "not run" only if no attempt may have run. Used on
+ * the event loop only.
  */
 public final class RequestRun {
-  /** What a request needs of a server that is no engine, in hundredths of a place. */
+  /** The size of a request to a plain service: one slot of a server, in hundredths of a slot. */
   static final long PLAIN_SIZE = 100;
 
-  /** When a caller should come back after a refusal for lack of a server. */
+  /** The least retry delay that a refused caller is given when no server can take its request. */
   private static final long RETRY_AFTER_MS = 250;
 
   private final Serving serving;
@@ -67,27 +68,27 @@
     return request;
   }
 
-  /** Returns the name of the route, or nothing before it is known. */
+  /** Returns the name of the route, or an empty string before it is known. */
   public String routeName() {
     return route == null ? "" : route.name();
   }
 
-  /** Returns the service, or nothing before it is known. */
+  /** Returns the name of the service, or an empty string before it is known. */
   public String service() {
     return service;
   }
 
-  /** Returns the team's name, or nothing if there is none. */
+  /** Returns the name of the team, or an empty string if there is none. */
   public String teamName() {
     return team == null ? "" : team.name();
   }
 
-  /** Returns what the request has in common with other tries of its caller. */
+  /** Returns the digest of the request; it is the same each time its caller sends it again. */
   public RequestDigest digest() {
     return suspicion.digest();
   }
 
-  /** Returns how long ago the request came. */
+  /** Returns the time since the request was received, in milliseconds. */
   public long ageMs() {
     return loop.millis() - request.receivedAtMs();
   }
@@ -95,35 +96,38 @@
   void start() {
     ServingConfig config = serving.state().config();
     if (config == null || !serving.state().ready()) {
-      refuse(ErrorKind.NOT_READY, "configuration or servers not known yet", RETRY_AFTER_MS);
+      refuse(ErrorKind.NOT_READY, "configuration or server list not loaded yet", RETRY_AFTER_MS);
       return;
     }
-    Route found = config.route(request.host(), request.path()).orElse(null);
-    if (found == null) {
-      refuse(ErrorKind.NOT_FOUND, "no route", 0);
+    Route matched = config.route(request.host(), request.path()).orElse(null);
+    if (matched == null) {
+      refuse(ErrorKind.NOT_FOUND, "no route matches the host and path", 0);
       return;
     }
-    route = found;
-    if (!found.open() && config.needsKeys()) {
+    route = matched;
+    if (!matched.open() && config.needsKeys()) {
       team = config.team(request.key()).orElse(null);
       if (team == null) {
-        refuse(ErrorKind.UNAUTHENTICATED, "unknown key", 0);
+        refuse(ErrorKind.UNAUTHENTICATED, "missing or unknown API key", 0);
         return;
       }
     }
-    service = found.service(Hashes.placement(request.splitKey()));
-    planner = new SendPlanner(serving, request, found, team, service);
+    service = matched.service(Hashes.placement(request.splitKey()));
+    planner = new SendPlanner(serving, request, matched, team, service);
     serving.state().retries(service).request(serving.options().retryPercent());
-    long mayTakeMs = found.timeoutMs();
+    long timeoutMs = matched.timeoutMs();
     if (request.deadlineMs() > 0) {
-      mayTakeMs = Math.min(mayTakeMs, request.deadlineMs());
+      timeoutMs = Math.min(timeoutMs, request.deadlineMs());
     }
-    endsAtMs = request.receivedAtMs() + mayTakeMs;
+    endsAtMs = request.receivedAtMs() + timeoutMs;
     if (endsAtMs - loop.millis() <= SendHistory.MIN_LEFT_MS) {
-      refuse(ErrorKind.OVERLOADED, "it waited for this VM until its time was over", RETRY_AFTER_MS);
+      refuse(
+          ErrorKind.OVERLOADED,
+          "the request's deadline passed, or nearly so, before this VM could read it",
+          RETRY_AFTER_MS);
       return;
     }
-    Verdict verdict = serving.admission().decide(this, found, endsAtMs - loop.millis());
+    Verdict verdict = serving.admission().decide(this, matched, endsAtMs - loop.millis());
     if (!verdict.isAdmitted()) {
       refuse(ErrorKind.OVERLOADED, verdict.why(), verdict.retryAfterMs());
       return;
@@ -132,7 +136,7 @@
     send();
   }
 
-  /** Sends a request that waits, if a server can begin it soon. */
+  /** Sends a waiting request if a server can start it soon. */
   void tryNow() {
     if (!done && attempt == null) {
       send();
@@ -140,54 +144,59 @@
   }
 
   private void send() {
-    SendPlanner current = planner;
-    Route admitted = route;
-    if (done || current == null || admitted == null) {
+    SendPlanner currentPlanner = planner;
+    Route currentRoute = route;
+    if (done || currentPlanner == null || currentRoute == null) {
       return;
     }
     if (suspicion.isQuarantined()) {
       endQuarantined();
       return;
     }
-    SendPlan plan = current.plan(history);
+    SendPlan plan = currentPlanner.plan(history);
     if (plan == null) {
-      awaitTurn(current, admitted);
+      awaitTurn(currentPlanner, currentRoute);
       return;
     }
-    if (!isAdmitted(plan, admitted)) {
+    if (!isAdmitted(plan, currentRoute)) {
       return;
     }
-    current.begins(plan);
+    currentPlanner.begins(plan);
     Backend backend = plan.backend();
-    PartMoves moves = current.moves(plan);
-    int sends = history.begin(backend.entry().id());
-    serving.log().routed(this, current.facts(plan, moves, sends));
+    PartMoves moves = currentPlanner.moves(plan);
+    int attempts = history.begin(backend.entry().id());
+    serving.log().routed(this, currentPlanner.facts(plan, moves, attempts));
     Attempt next = new Attempt(request, plan, serving, answers);
     attempt = next;
     long leftMs = Math.max(1, endsAtMs - loop.millis());
     next.start(
         serving.transport(),
-        current.call(plan, moves, leftMs, answer.lastEventId()),
-        current.mayBeginMs(plan));
+        currentPlanner.call(plan, moves, leftMs, answer.lastEventId()),
+        currentPlanner.mayBeginMs(plan));
   }
 
   /**
-   * Lets a request without a server wait until it is its turn at one that takes few, if that is in
-   * time; otherwise ends the request.
+   * Queues a request that no server may have now, if its turn comes in time at a server that is
+   * passed over only because it is cold or has a rate limit; otherwise ends the request.
    */
-  private void awaitTurn(SendPlanner current, Route admitted) {
+  private void awaitTurn(SendPlanner currentPlanner, Route currentRoute) {
     WaitingRuns waiting = serving.waiting();
-    long waitMs = current.waitMs(waiting.size());
-    boolean hasWaited = waiting.contains(this) && current.mayHaveTurn();
-    // Who waits has been let in by what was known then, and goes on until no answer can come.
+    long waitMs = currentPlanner.waitMs(waiting.size());
+    boolean hasWaited = waiting.contains(this) && currentPlanner.mayHaveTurn();
+    // A queued request was admitted with the load known at that time. It stays in the queue until
+    // no response can come before its deadline.
     if (EngineAdmission.isInTime(hasWaited ? 0 : waitMs, endsAtMs - loop.millis())) {
-      waiting.add(this, admitted.priority());
+      waiting.add(this, currentRoute.priority());
       return;
     }
-    failWithout(current.whyNone(), retryAfterMs(Math.min(waitMs, current.restLeftMs())));
+    failWithout(
+        currentPlanner.whyNone(), retryAfterMs(Math.min(waitMs, currentPlanner.restLeftMs())));
   }
 
-  /** Another VM may have a server for the caller sooner, so nobody is sent away for long. */
+  /**
+   * Returns the retry delay for a refused caller. It is kept short, since another VM may have a
+   * server for the request sooner.
+   */
   private long retryAfterMs(long waitMs) {
     long callerHash = Hashes.placement(request.id());
     long leftMs = endsAtMs - loop.millis();
@@ -196,8 +205,8 @@
         : Math.max(RETRY_AFTER_MS, EngineAdmission.retryAfterMs(waitMs, leftMs, callerHash));
   }
 
-  /** Returns true if a request may be sent; otherwise it waits now, or was refused. */
-  private boolean isAdmitted(SendPlan plan, Route admitted) {
+  /** Returns true if the request may be sent now; otherwise queues or refuses it. */
+  private boolean isAdmitted(SendPlan plan, Route currentRoute) {
     if (plan.cacheTokens() == 0) {
       serving.waiting().begins(this);
       return true;
@@ -205,7 +214,7 @@
     long waitMs = expectedWaitMs();
     long leftMs = endsAtMs - loop.millis();
     switch (EngineAdmission.decide(
-        plan.choice(), ageMs(), admitted.targetLatencyMs(), leftMs, waitMs)) {
+        plan.choice(), ageMs(), currentRoute.targetLatencyMs(), leftMs, waitMs)) {
       case SEND -> {
         serving.waiting().begins(this);
         serving.admission().sent(this);
@@ -217,15 +226,24 @@
     return false;
   }
 
-  /** Who waits has been let in by what was known then, and goes on until no answer can come. */
+  /**
+   * Returns the expected time in the queue; 0 for a queued request while admission control is on.
+   * It was admitted with the load known at that time, and stays in the queue until no response can
+   * come before its deadline.
+   */
   private long expectedWaitMs() {
     WaitingRuns waiting = serving.waiting();
-    boolean mayWaitOn = serving.admission().isOn() && waiting.contains(this);
-    return mayWaitOn ? 0 : waiting.expectedWaitMs(this);
+    boolean staysQueued = serving.admission().isOn() && waiting.contains(this);
+    return staysQueued ? 0 : waiting.expectedWaitMs(this);
   }
 
   private void refuseOverloaded(long waitMs, long leftMs) {
-    String why = "an engine would begin it in " + waitMs + " ms, " + leftMs + " ms are left";
+    String why =
+        "an engine is expected to start the request in "
+            + waitMs
+            + " ms, and "
+            + leftMs
+            + " ms are left until its deadline";
     if (history.inDoubt() || answer.hasBegunStream()) {
       failWithout(why);
       return;
@@ -234,25 +252,32 @@
     refuse(ErrorKind.OVERLOADED, why, retryMs);
   }
 
-  /** Returns how urgent the request is among those of its service; 0 is the most urgent. */
+  /** Returns the request's priority within its service; 0 is the most urgent. */
   int rank() {
-    Team asks = team;
-    int own = route == null ? 0 : route.priority();
-    return Math.max(0, asks != null && asks.priority() >= 0 ? asks.priority() : own);
+    Team currentTeam = team;
+    int routePriority = route == null ? 0 : route.priority();
+    return Math.max(
+        0,
+        currentTeam != null && currentTeam.priority() >= 0
+            ? currentTeam.priority()
+            : routePriority);
   }
 
-  /** Returns what the request needs of a server: tokens of memory, or hundredths of a place. */
+  /**
+   * Returns the size of the request for admission control: tokens of KV cache for an engine,
+   * hundredths of a slot for a plain service.
+   */
   long size() {
     return request.prompt() == null ? PLAIN_SIZE : Math.max(1, memoryTokens());
   }
 
-  /** Returns the most memory of an engine that the request takes, in tokens. */
+  /** Returns the most KV cache that the request takes at an engine, in tokens. */
   long memoryTokens() {
     Prompt prompt = request.prompt();
     return prompt == null ? 0 : prompt.memoryTokens();
   }
 
-  /** Returns true if an answer can no longer come within the route's target. */
+  /** Returns true if a response can no longer come within the route's target latency. */
   boolean isLate() {
     Route current = route;
     return current != null && EngineAdmission.isLate(ageMs(), current.targetLatencyMs());
@@ -260,17 +285,20 @@
 
   private void endQuarantined() {
     String why = suspicion.why();
-    boolean mayNotBeRepeated = route != null && route.repeat() == Repeat.NEVER;
-    if (answer.hasBegunStream() || (history.inDoubt() && mayNotBeRepeated)) {
+    boolean isNeverRepeated = route != null && route.repeat() == Repeat.NEVER;
+    if (answer.hasBegunStream() || (history.inDoubt() && isNeverRepeated)) {
       failWithout(why);
       return;
     }
     refuse(ErrorKind.QUARANTINED, why, suspicion.leftMs());
   }
 
-  /** Tells that a request gets no further server: if it is this one, none is to begin it. */
-  void quarantined(RequestDigest held) {
-    boolean isThis = !done && suspicion.isOf(held);
+  /**
+   * Ends this request if it is the one that was quarantined, unless a server has already started
+   * it.
+   */
+  void quarantined(RequestDigest quarantinedDigest) {
+    boolean isThis = !done && suspicion.isOf(quarantinedDigest);
     Attempt current = attempt;
     if (!isThis || (current != null && current.hasBegun())) {
       return;
@@ -295,7 +323,7 @@
     return true;
   }
 
-  /** Ends a request that no further send can help, by what is known of the sends so far. */
+  /** Ends a request that has no further server; the error tells whether it may have run. */
   private void failWithout(String why) {
     failWithout(why, RETRY_AFTER_MS);
   }
@@ -328,7 +356,7 @@
     }
   }
 
-  /** Tells that the caller closed its connection. */
+  /** Cancels the request because the caller closed its connection. */
   public void callerGone() {
     if (done) {
       return;
@@ -339,15 +367,18 @@
     serving.log().cut(this, server, "the caller left");
   }
 
-  /** Tells that a start of a server is over, which may have run the request. */
-  void serverStartedAgain(Backend ended) {
+  /**
+   * Fails the attempt under way if it was sent to a server instance that has been replaced by a
+   * restart. That instance may have run the request.
+   */
+  void serverStartedAgain(Backend replaced) {
     Attempt current = attempt;
-    if (current != null && current.backend() == ended) {
+    if (current != null && current.backend() == replaced) {
       current.breakOff("the server started again");
     }
   }
 
-  /** Breaks the request off, because this process ends. */
+  /** Ends the request because this process stops. */
   void giveUp(String why) {
     if (done) {
       return;
@@ -400,7 +431,7 @@
     return attempt == null ? "" : attempt.serverId();
   }
 
-  /** What comes back of the send under way, decided for the request. */
+  /** Handles the outcome of the attempt under way: ends the request or retries it. */
   private final class Answers implements Attempt.Outcome {
     @Override
     public void notRun(Attempt sent, NotRunReason reason, String why) {
@@ -423,7 +454,7 @@
           sent.backend().replacedByAnother();
           serving.ends().ended(sent.backend());
           serving.endedStarts().seen(sent.backend());
-          serving.log().ejected(sent.serverId(), "another start has its address");
+          serving.log().ejected(sent.serverId(), "another instance of the server has its address");
         }
         case FULL -> sent.backend().refused(loop.millis());
         case OTHER_VERSION -> sent.refusedWeights(serving.state());
@@ -471,7 +502,7 @@
         suspicion.endedWell();
       }
       if (answer.hasBegunStream() && !head.isStream()) {
-        cut("a resumed stream was answered with status " + head.status());
+        cut("the stream could not be resumed: the server responded with status " + head.status());
         return;
       }
       finish();
@@ -491,13 +522,13 @@
       goOnInDoubt(why);
     }
 
-    /** That a server's weights were replaced, or that it was only tried, is no failure of it. */
+    /** Does not count as a failure of the server: its weights were replaced, or it was probed. */
     @Override
     public void withdrawn(Attempt sent) {
       String why =
           sent.isProbe()
-              ? "not begun in time by a server that is ejected"
-              : "not begun before its weights had been replaced for too long";
+              ? "an ejected server that was probed did not start the request in time"
+              : "the server did not start the request before its weights became too old";
       attempt = null;
       history.mayHaveRun();
       serving.log().brokeOff(RequestRun.this, sent.serverId(), "withdrawn", why);
@@ -505,11 +536,12 @@
     }
 
     private void goOnInDoubt(String why) {
-      boolean mayGoOn =
+      boolean mayRetry =
           !answer.hasBegunStream() || (route != null && route.repeat() == Repeat.RESUME);
-      // Whether the server ended is known a moment later, and then it may be the last one allowed.
-      mayGoOn &= suspicion.allowsOneMoreEnd();
-      if (mayGoOn && trySendAgain()) {
+      // Whether the server crashed is known only a moment later. If it did, that crash may
+      // quarantine the request.
+      mayRetry &= suspicion.allowsOneMoreEnd();
+      if (mayRetry && trySendAgain()) {
         return;
       }
       if (answer.hasBegunStream()) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/RequestSuspicion.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/RequestSuspicion.java
@@ -21,8 +21,8 @@
 import org.landingtrack.internal.quarantine.RequestDigest;
 
 /**
- * What VMs know of servers that ended under one request, in all its tries at all VMs. Used on the
- * event loop only.
+ * Looks up one request in the {@link Quarantine}, which counts the servers that crashed while they
+ * processed it, over all its attempts at all VMs. Used on the event loop only.
  */
 final class RequestSuspicion {
   private final CallerRequest request;
@@ -31,9 +31,9 @@
   private @Nullable RequestDigest digest;
 
   /**
-   * Creates a view of a request.
+   * Creates the lookup for a request.
    *
-   * @param team the name of its team, asked once it is known
+   * @param team gives the name of its team; called only once the team is known
    */
   RequestSuspicion(CallerRequest request, Quarantine quarantine, Supplier<String> team) {
     this.request = request;
@@ -41,7 +41,7 @@
     this.team = team;
   }
 
-  /** Returns what the request has in common with other tries of its caller. */
+  /** Returns the digest of the request; it is the same each time its caller sends it again. */
   RequestDigest digest() {
     RequestDigest known = digest;
     if (known == null) {
@@ -57,35 +57,37 @@
     return quarantine.mayKnow(request.body().length) ? quarantine.ends(digest()) : 0;
   }
 
-  /** Returns true if the request gets no further server. */
+  /** Returns true if the request is quarantined, so that no server may get it. */
   boolean isQuarantined() {
     return ends() >= Quarantine.MAX_ENDS;
   }
 
-  /** Returns true if the request is not quarantined by one server more that ends under it. */
+  /** Returns true if one more server crash would not yet quarantine the request. */
   boolean allowsOneMoreEnd() {
     return ends() < Quarantine.MAX_ENDS - 1;
   }
 
-  /** Returns true if a digest is that of the request; its body is read only if its length fits. */
+  /**
+   * Returns true if the digest is that of the request. Hashes the body only if its length matches.
+   */
   boolean isOf(RequestDigest other) {
     return request.body().length == other.bodyBytes() && digest().equals(other);
   }
 
-  /** Notes that a server answered the request well. */
+  /** Records that a server processed the request without a crash. */
   void endedWell() {
     if (ends() > 0) {
       quarantine.endedWell(digest());
     }
   }
 
-  /** Returns for how long the request gets no server. */
+  /** Returns how much longer the request is quarantined, in milliseconds. */
   long leftMs() {
     return quarantine.leftMs(digest());
   }
 
-  /** Returns why the request is quarantined, for the log and its caller. */
+  /** Returns the reason for the quarantine, for the log and the caller. */
   String why() {
-    return ends() + " servers ended under this request, digest " + digest().hex();
+    return ends() + " servers crashed while processing this request, digest " + digest().hex();
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/SendHistory.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/SendHistory.java
@@ -20,14 +20,14 @@
 import org.landingtrack.internal.serving.Route.Repeat;
 
 /**
- * The sends of one request so far: to which servers, and whether any of them may have run it. What
- * may have run is sent again only if the route allows it.
+ * The attempts of one request so far: at which servers, and whether any of these may have run it. A
+ * request that may have run is retried only if the route allows it. Used on the event loop only.
  */
 final class SendHistory {
-  /** Connections that may fail before a request is refused; they are no sends. */
+  /** Failed connects after which a request is refused. They do not count as attempts. */
   private static final int MAX_CONNECT_FAILURES = 3;
 
-  /** Less time than this is not worth another send. */
+  /** The least time until the deadline that is worth another attempt. */
   static final long MIN_LEFT_MS = 20;
 
   private final Set<String> tried = new HashSet<>();
@@ -35,46 +35,48 @@
   private int connectFailures;
   private boolean inDoubt;
 
-  /** Returns the ids of the servers that had the request or were to have it. */
+  /**
+   * Returns the ids of the servers at which the request was attempted, failed connects included.
+   */
   Set<String> tried() {
     return tried;
   }
 
-  /** Notes a send; returns how many there were with it. */
+  /** Records an attempt; returns the number of attempts including this one. */
   int begin(String serverId) {
     tried.add(serverId);
     return ++sends;
   }
 
-  /** Notes that the last send found no connection; returns true if another may be tried. */
+  /** Records that the last attempt could not connect; returns true if another may be made. */
   boolean notConnected() {
     sends--;
     connectFailures++;
     return connectFailures <= MAX_CONNECT_FAILURES;
   }
 
-  /** Notes that the last send was called back before it began. */
+  /** Records that the last attempt was recalled before anything was sent. */
   void recalled(String serverId) {
     sends--;
     tried.remove(serverId);
   }
 
-  /** Notes that the last send may have run, or may still run. */
+  /** Records that the last attempt may have run, or may still run. */
   void mayHaveRun() {
     inDoubt = true;
   }
 
-  /** Returns true if any send may have run. */
+  /** Returns true if any attempt may have run. */
   boolean inDoubt() {
     return inDoubt;
   }
 
-  /** Returns true if the route allows a send after the next one, should that not run. */
+  /** Returns true if the route allows one more attempt after the next, should that not run. */
   boolean hasFurtherSend(Route route) {
     return sends + 1 < route.maxAttempts();
   }
 
-  /** Returns true if the route allows another send, and there is time for it. */
+  /** Returns true if the route allows another attempt, and enough time is left for it. */
   boolean maySendAgain(Route route, long leftMs) {
     boolean mayRepeat = !inDoubt || route.repeat() != Repeat.NEVER;
     return mayRepeat && sends < route.maxAttempts() && leftMs > MIN_LEFT_MS;
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServiceRetries.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServiceRetries.java
@@ -18,18 +18,22 @@
 import org.landingtrack.internal.dispatch.RetryBudget;
 import org.landingtrack.internal.retry.FleetRetries;
 
-/** The retries of one service that this VM may have. */
+/** The retry budget of one service at this VM. Used on the event loop only. */
 interface ServiceRetries {
-  /** Notes a request, for each hundred of which there are so many retries. */
+  /**
+   * Records a first attempt, which adds to the budget.
+   *
+   * @param percent retries for each 100 requests
+   */
   void request(double percent);
 
-  /** Takes one retry; returns false if there is none. */
+  /** Takes one retry from the budget; returns false if it is used up. */
   boolean tryRetry();
 
-  /** Returns true if there is a retry. */
+  /** Returns true if at least one retry is left in the budget. */
   boolean hasRetry();
 
-  /** Returns this VM's own ones. */
+  /** Returns a budget of this VM alone. */
   static ServiceRetries own(RetryBudget budget) {
     return new ServiceRetries() {
       @Override
@@ -49,7 +53,7 @@
     };
   }
 
-  /** Returns those that it shares with all VMs; their terms hold in place of a percentage. */
+  /** Returns a budget that all VMs share; its own terms replace the percentage. */
   static ServiceRetries shared(FleetRetries retries, String service) {
     return new ServiceRetries() {
       @Override
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Serving.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Serving.java
@@ -27,7 +27,10 @@
 import org.landingtrack.internal.retry.FleetRetries;
 import org.landingtrack.internal.retry.RetryTerms;
 
-/** Serves requests: makes a run of each and keeps account of those under way. */
+/**
+ * Serves the requests of callers: starts a {@link RequestRun} for each, keeps those under way, and
+ * holds the parts of this VM that route and retry them. Used on the event loop only.
+ */
 public final class Serving {
   private final EventLoop loop;
   private final ServingState state;
@@ -104,19 +107,20 @@
   }
 
   /**
-   * What was under way at a start that is over ends as after a crash. Its connections may be silent
-   * for good, so that without this a request waited for its deadline.
+   * Fails the requests under way at a server instance that has been replaced, as after a crash. Its
+   * connections may stay open and silent, and then requests would wait until their deadlines.
    */
-  private void startEnded(Backend ended) {
-    transport.forget(ended.entry().id());
-    ends.ended(ended);
+  private void startEnded(Backend replaced) {
+    transport.forget(replaced.entry().id());
+    ends.ended(replaced);
     for (RequestRun run : List.copyOf(running)) {
-      run.serverStartedAgain(ended);
+      run.serverStartedAgain(replaced);
     }
   }
 
   /**
-   * What several VMs have sent at the same time is taken back from servers that did not begin it.
+   * Cancels the attempts of a request that was quarantined at servers that have not started it:
+   * several VMs may have sent the request at the same time.
    */
   private void suspicionChanged(Suspicion suspicion) {
     log.suspected(suspicion);
@@ -125,7 +129,7 @@
     }
   }
 
-  /** Begins to serve a request; tell the run if the caller leaves. */
+  /** Starts to serve a request; call {@link RequestRun#callerGone} if the caller disconnects. */
   public RequestRun serve(CallerRequest request, CallerSink sink) {
     RequestRun run = new RequestRun(this, request, sink);
     running.add(run);
@@ -133,40 +137,41 @@
     return run;
   }
 
+  /** Removes a request that is over. */
   void ended(RequestRun run) {
     running.remove(run);
     waiting.remove(run);
   }
 
-  /** Returns the number of requests under way. */
+  /** Returns the number of requests under way, queued ones included. */
   public int runningCount() {
     return running.size();
   }
 
-  /** Breaks off all requests under way. */
+  /** Ends all requests under way, with the reason for the log and the callers. */
   public void abortAll(String why) {
-    List<RequestRun> all = new ArrayList<>(running);
-    for (RequestRun run : all) {
+    List<RequestRun> runs = new ArrayList<>(running);
+    for (RequestRun run : runs) {
       run.giveUp(why);
     }
   }
 
-  /** Returns how often a server was passed over because it is cold. */
+  /** Returns how often a server was passed over because it is cold, since the start. */
   public long passedOverCold() {
     return cold.passedOver();
   }
 
-  /** Returns how often a server was passed over because of its limit. */
+  /** Returns how often a server was passed over because of its rate limit, since the start. */
   public long passedOverLimited() {
     return limited.passedOver();
   }
 
-  /** Returns the least part of any service's requests that is let in; 1 without shortage. */
+  /** Returns the least share of requests that any service admits, 0 to 1; 1 without a shortage. */
   public double admissionLevel() {
     return admission.admission().leastPart();
   }
 
-  /** Returns how many requests were refused as they came, for a cause. */
+  /** Returns how many requests were refused on arrival for a cause. */
   public long refusedAtOnce(Verdict.Cause cause) {
     return admission.admission().refused(cause);
   }
@@ -175,17 +180,17 @@
     return admission;
   }
 
-  /** Returns how often a request was not sent again since all VMs together had used up retries. */
+  /** Returns how many retries were denied because the retry budget of all VMs was used up. */
   public long deniedRetries() {
     return fleetRetries == null ? 0 : fleetRetries.denied();
   }
 
-  /** Returns how many servers are ejected by what all VMs saw. */
+  /** Returns the number of servers that are ejected by the outcomes of all VMs. */
   public int ejectedByAll() {
     return health.ejectedCount();
   }
 
-  /** Returns how often this VM tried an ejected server. */
+  /** Returns how many requests this VM sent to ejected servers as probes. */
   public long probes() {
     return health.probes();
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/WaitingRuns.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/WaitingRuns.java
@@ -23,18 +23,22 @@
 import java.util.function.Predicate;
 
 /**
- * Requests that wait at this VM until an engine can begin them soon. In an engine's own queue they
- * could no longer be sent elsewhere, ordered or refused, and what they are to fetch there would be
- * too old when their turn comes. Runs on the event loop.
+ * The queue of requests at this VM that wait until a server can start them soon. In the queue of an
+ * engine they could no longer be sent elsewhere, reordered or refused, and what is known about the
+ * cached parts that they fetch would be too old when their turn comes. Used on the event loop only.
  */
 final class WaitingRuns {
-  /** A rank of priority is worth so much waiting; so the less urgent wait longer, not for ever. */
+  /**
+   * The wait that offsets one step of priority: less urgent requests wait longer, but never starve.
+   */
   private static final long RANK_MS = 300;
 
-  /** Loads of other VMs are news after so long at the latest. */
+  /**
+   * How often queued requests are tried again; news of other VMs' loads comes at least as often.
+   */
   private static final long LOOK_EVERY_MS = 50;
 
-  /** How quickly waiting requests begin is taken from this span. */
+  /** The window over which the rate at which queued requests start is measured. */
   private static final long RATE_SPAN_MS = 2_000;
 
   private final EventLoop loop;
@@ -42,13 +46,13 @@
   private final Deque<Begun> begun = new ArrayDeque<>();
   private boolean lookIsDue;
 
-  /** A request that began after it had waited. */
+  /** A queued request that was sent. */
   private record Begun(long atMs, long tokens) {}
 
   /**
-   * A request that waits.
+   * A queued request.
    *
-   * @param turnMs the earlier, the sooner it is tried
+   * @param turnMs orders the queue: the smaller, the sooner the request is tried
    */
   private record Waiting(RequestRun run, long turnMs) {}
 
@@ -56,7 +60,7 @@
     this.loop = loop;
   }
 
-  /** Adds a request, or leaves it where it is; it is tried again by {@link RequestRun#tryNow}. */
+  /** Adds a request if it is not queued yet. It is tried again by {@link RequestRun#tryNow}. */
   void add(RequestRun run, int priority) {
     if (!contains(run)) {
       waiting.add(new Waiting(run, run.request().receivedAtMs() + priority * RANK_MS));
@@ -64,7 +68,7 @@
     lookLater();
   }
 
-  /** Returns true if a request waits. */
+  /** Returns true if the request is queued. */
   boolean contains(RequestRun run) {
     for (Waiting each : waiting) {
       if (each.run == run) {
@@ -74,7 +78,7 @@
     return false;
   }
 
-  /** Returns how many requests wait. */
+  /** Returns the number of queued requests. */
   int size() {
     return waiting.size();
   }
@@ -83,7 +87,7 @@
     waiting.removeIf(each -> each.run == run);
   }
 
-  /** Notes that a request is sent, which no longer waits if it did. */
+  /** Records that a request is sent, and removes it if it was queued. */
   void begins(RequestRun run) {
     if (contains(run)) {
       begun.add(new Begun(loop.millis(), run.memoryTokens()));
@@ -92,32 +96,32 @@
   }
 
   /**
-   * Returns how long a request that comes now is expected to wait, by what waits before it and how
-   * quickly others began lately; 0 where nothing tells.
+   * Returns the expected wait of a new request in milliseconds: the tokens queued before it,
+   * divided by the rate at which queued ones were sent lately; 0 if none was sent lately.
    */
   long expectedWaitMs(RequestRun run) {
-    long since = loop.millis() - RATE_SPAN_MS;
-    while (!begun.isEmpty() && begun.peek().atMs < since) {
+    long windowStartMs = loop.millis() - RATE_SPAN_MS;
+    while (!begun.isEmpty() && begun.peek().atMs < windowStartMs) {
       begun.remove();
     }
     long begunTokens = 0;
     for (Begun each : begun) {
       begunTokens += each.tokens;
     }
-    long before = 0;
+    long queuedTokens = 0;
     for (Waiting each : waiting) {
       if (each.run != run && !each.run.isLate()) {
-        before += each.run.memoryTokens();
+        queuedTokens += each.run.memoryTokens();
       }
     }
-    return begunTokens == 0 ? 0 : before * RATE_SPAN_MS / begunTokens;
+    return begunTokens == 0 ? 0 : queuedTokens * RATE_SPAN_MS / begunTokens;
   }
 
-  /** Returns the sizes of those that wait and of which something is true. */
-  long sizes(Predicate<RequestRun> which) {
+  /** Returns the sum of {@link RequestRun#size} over the queued requests that match. */
+  long sizes(Predicate<RequestRun> filter) {
     long sum = 0;
     for (Waiting each : waiting) {
-      sum += which.test(each.run) ? each.run.size() : 0;
+      sum += filter.test(each.run) ? each.run.size() : 0;
     }
     return sum;
   }
@@ -131,15 +135,15 @@
   }
 
   /**
-   * Tries all that wait, in turn: one that still has to wait does not hold up others. Those that
-   * cannot be in time any more come after those that can.
+   * Tries all queued requests in order. One that still has to wait does not block the others. Those
+   * that can no longer meet their target latency come after those that can.
    */
   private void look() {
     lookIsDue = false;
-    List<Waiting> inTurn = new ArrayList<>(waiting);
-    inTurn.sort(
+    List<Waiting> inOrder = new ArrayList<>(waiting);
+    inOrder.sort(
         Comparator.comparing((Waiting each) -> each.run.isLate()).thenComparing(Waiting::turnMs));
-    for (Waiting each : inTurn) {
+    for (Waiting each : inOrder) {
       each.run.tryNow();
     }
     lookLater();
