--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/AdmissionGate.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/AdmissionGate.java
@@ -39,7 +39,7 @@
    * Creates admission control for one VM.
    *
    * @param salt differs from VM to VM and from start to start
-   * @param isOn false to admit everything, and to publish nothing about the requests of this VM
+   * @param enabled false to admit everything, and to publish nothing about the requests of this VM
    */
   AdmissionGate(
       EventLoop loop,
@@ -47,12 +47,12 @@
       WaitingRuns waiting,
       DecisionLog log,
       long salt,
-      boolean isOn) {
+      boolean enabled) {
     this.state = state;
     this.waiting = waiting;
-    this.isOn = isOn;
+    this.isOn = enabled;
     this.admission = new FleetAdmission(loop, salt, this, log::admission);
-    if (isOn) {
+    if (enabled) {
       FleetTallies tallies = state.tally(TallyTopic.SERVICES, admission::tallies);
       admission.others(tallies::others);
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Attempt.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Attempt.java
@@ -60,7 +60,7 @@
     void event(StreamEvent event);
 
     /** The response is complete. The attempt is over. */
-    void ended(Attempt sent, AnswerHead answer, byte[] body);
+    void ended(Attempt sent, AnswerHead head, byte[] body);
 
     /** The attempt failed, and the server may have run the request or still run it. It is over. */
     void broken(Attempt sent, String why);
@@ -69,13 +69,13 @@
     void withdrawn(Attempt sent);
   }
 
-  Attempt(CallerRequest request, SendPlan plan, Serving serving, Outcome outcome) {
+  Attempt(CallerRequest request, SendPlan plan, Serving serving, Outcome listener) {
     this.loop = serving.loop();
     this.request = request;
     this.plan = plan;
     this.parts = serving.state().parts();
     this.health = serving.health();
-    this.outcome = outcome;
+    this.outcome = listener;
     Prompt prompt = request.prompt();
     this.missingTokens =
         prompt == null || plan.cacheTokens() == 0
@@ -243,18 +243,18 @@
   }
 
   @Override
-  public void head(AnswerHead answer) {
+  public void head(AnswerHead received) {
     if (over) {
       return;
     }
-    head = answer;
+    head = received;
     Prompt prompt = request.prompt();
-    if (prompt != null && answer.weightVersion().isPresent()) {
-      plan.backend().learnWeights(prompt.model(), answer.weightVersion().getAsLong());
+    if (prompt != null && received.weightVersion().isPresent()) {
+      plan.backend().learnWeights(prompt.model(), received.weightVersion().getAsLong());
     }
-    if (answer.isStream()) {
+    if (received.isStream()) {
       plan.backend().succeeded(loop.millis());
-      outcome.streamStarts(answer);
+      outcome.streamStarts(received);
     }
   }
 
@@ -271,12 +271,12 @@
 
   @Override
   public void ended(byte[] body) {
-    AnswerHead answer = head;
-    if (answer != null) {
-      health.ended(this, answer);
+    AnswerHead received = head;
+    if (received != null) {
+      health.ended(this, received);
     }
-    if (answer != null && close()) {
-      outcome.ended(this, answer, body);
+    if (received != null && close()) {
+      outcome.ended(this, received, body);
     }
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerAnswer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerAnswer.java
@@ -88,15 +88,14 @@
   }
 
   /** Completes the response with that of a server. */
-  void end(AnswerHead answer, byte[] body) {
-    if (answer.isStream()) {
+  void end(AnswerHead head, byte[] body) {
+    if (head.isStream()) {
       sink.endStream();
-    } else if (answer.promisesNotRun()) {
+    } else if (head.promisesNotRun()) {
       // The server ran the request, but callers would take this status to mean that it did not run.
-      sink.refuse(
-          ErrorKind.FAILED_IN_RUN, "the server responded with status " + answer.status(), 0);
+      sink.refuse(ErrorKind.FAILED_IN_RUN, "the server responded with status " + head.status(), 0);
     } else {
-      sink.answer(answer.status(), answer.headers(), body);
+      sink.answer(head.status(), head.headers(), body);
     }
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/WaitingRuns.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/WaitingRuns.java
@@ -104,9 +104,9 @@
     while (!begun.isEmpty() && begun.peek().atMs < windowStartMs) {
       begun.remove();
     }
-    long begunTokens = 0;
+    long startedTokens = 0;
     for (Begun each : begun) {
-      begunTokens += each.tokens;
+      startedTokens += each.tokens;
     }
     long queuedTokens = 0;
     for (Waiting each : waiting) {
@@ -114,7 +114,7 @@
         queuedTokens += each.run.memoryTokens();
       }
     }
-    return begunTokens == 0 ? 0 : queuedTokens * RATE_SPAN_MS / begunTokens;
+    return startedTokens == 0 ? 0 : queuedTokens * RATE_SPAN_MS / startedTokens;
   }
 
   /** Returns the sum of {@link RequestRun#size} over the queued requests that match. */
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/CrashingFleet.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/CrashingFleet.java
@@ -29,8 +29,9 @@
 import org.landingtrack.internal.quarantine.SuspectNews;
 
 /**
- * Some VMs before backend servers that end under certain requests, on one clock. VMs are lost,
- * stand still and are cut off from each other; servers end for other reasons as well. Seeded.
+ * Simulates five VMs and backend servers that crash when they process certain requests, on one
+ * clock. VMs restart, pause and lose messages; servers also crash for other reasons. All random
+ * choices follow from a seed.
  */
 final class CrashingFleet {
   private static final int VMS = 5;
@@ -38,14 +39,14 @@
   private static final long NEWS_MS = 100;
   private static final double NEWS_LOST = 0.03;
 
-  /** From the begin of a deadly request to the end of its server. */
+  /** The time from the start of a crashing request to the crash of its server. */
   private static final long DEADLY_MS = 60;
 
   private static final long ENTRY_GOES_MS = 2_500;
   private static final long ENTRY_SPREAD_MS = 1_500;
   private static final long BACK_AFTER_MS = 2_000;
 
-  /** After its last trouble a VM counts as in touch again. */
+  /** The time after a restart or a pause until a VM is expected to know what the others know. */
   private static final long IN_TOUCH_MS = 3_000;
 
   private final ManualLoop loop = new ManualLoop();
@@ -56,21 +57,26 @@
   private int started;
   private int requests;
 
-  /** For each deadly path what became of it. */
+  /** The requests that crash servers, by path. */
   final Map<String, Culprit> culprits = new HashMap<>();
 
-  /** Servers that ended under each request, whatever they ended of. */
+  /** The servers that crashed while they had a request, for any reason, by path. */
   private final Map<String, Set<String>> endedUnder = new HashMap<>();
 
   int innocentServed;
 
-  /** Refused although fewer than three servers ended under them. */
+  /**
+   * Requests that were quarantined although fewer than three servers crashed while they had them.
+   */
   int wronglyQuarantined;
 
-  /** Refused because they shared three servers with others that ended them. */
+  /**
+   * Harmless requests that were quarantined because they were at three servers when others crashed
+   * these.
+   */
   int sharedThreeEnds;
 
-  /** A request that ends each server that begins it. */
+  /** A request that crashes each server that starts it, with what became of it. */
   static final class Culprit {
     final Set<String> ended = new HashSet<>();
     long thirdEndMs = Long.MAX_VALUE / 2;
@@ -96,7 +102,7 @@
     long inTouchMs;
     final List<Runnable> waiting = new ArrayList<>();
 
-    /** All that it knew is lost; it reads the store. */
+    /** Restarts the VM without its state; it reads the quarantine from the store. */
     void start() {
       world = new ServingWorld(loop);
       seen = 0;
@@ -132,7 +138,7 @@
     loop.schedule(NEWS_MS, this::tellAll);
   }
 
-  /** Lets time pass; what was sent meanwhile reaches its servers at once. */
+  /** Advances the clock in steps of 5 ms; calls reach their servers at the end of each step. */
   void run(long ms) {
     for (long left = ms; left > 0; left -= 5) {
       loop.advance(5);
@@ -148,19 +154,29 @@
 
   private void startServer(String service) {
     String id = service.charAt(0) + "-" + started++;
-    ServerEntry like =
+    ServerEntry template =
         service.equals("plain") ? ServingWorld.plain(id, "dc-1") : ServingWorld.engine(id, 1);
     ServerEntry entry =
         new ServerEntry(
-            id, service, "10.1.0." + started + ":80", "dc-1", 8, false, 0, like.weightVersions());
+            id,
+            service,
+            "10.1.0." + started + ":80",
+            "dc-1",
+            8,
+            false,
+            0,
+            template.weightVersions());
     servers.put(id, new Server(entry));
     vms.forEach(vm -> vm.world.book.put(entry, started));
   }
 
-  /** Sends a request as its caller does: with a new id, to any VM that does not stand still. */
-  void send(String path, boolean again) {
+  /**
+   * Sends a request with a new id to a random VM. At a VM that pauses, half of the requests wait
+   * until it goes on.
+   */
+  void send(String path, boolean isRetry) {
     Vm vm = vms.get(random.nextInt(VMS));
-    Runnable serve = () -> serve(vm, path, again);
+    Runnable serve = () -> serve(vm, path, isRetry);
     if (loop.millis() < vm.hearsAgainMs && random.nextBoolean()) {
       vm.waiting.add(serve);
     } else {
@@ -168,33 +184,33 @@
     }
   }
 
-  private void serve(Vm vm, String path, boolean again) {
+  private void serve(Vm vm, String path, boolean isRetry) {
     requests++;
-    CallerRequest like = vm.world.request(path, ServingWorld.KEY);
+    CallerRequest template = vm.world.request(path, ServingWorld.KEY);
     CallerRequest request =
         new CallerRequest(
             "r" + requests,
-            like.method(),
-            like.host(),
-            like.target(),
-            like.headers(),
-            like.body(),
-            like.deadlineMs(),
-            like.key(),
-            like.prompt(),
+            template.method(),
+            template.host(),
+            template.target(),
+            template.headers(),
+            template.body(),
+            template.deadlineMs(),
+            template.key(),
+            template.prompt(),
             null,
             loop.millis());
-    vm.world.serving.serve(request, new Caller(path, again));
+    vm.world.serving.serve(request, new Caller(path, isRetry));
   }
 
-  /** Counts what an innocent request gets; its caller sends it once more if it was not served. */
+  /** Counts the outcomes of a request. Sends a harmless one once more if it was not served. */
   private final class Caller implements CallerSink {
     private final String path;
     private final boolean again;
 
-    Caller(String path, boolean again) {
+    Caller(String path, boolean isRetry) {
       this.path = path;
-      this.again = again;
+      this.again = isRetry;
     }
 
     private void noteQuarantined() {
@@ -326,7 +342,7 @@
     vms.forEach(vm -> vm.world.book.remove(id, started));
   }
 
-  /** A server ends by itself. */
+  /** Crashes one random server, whatever it has under way. */
   void endOne() {
     List<Server> alive = new ArrayList<>();
     servers.values().stream()
@@ -346,9 +362,7 @@
     vms.forEach(Vm::start);
   }
 
-  /**
-   * A VM hears nothing for a while; some requests lie in its sockets and are served as it wakes.
-   */
+  /** Pauses a VM: it receives no news, and some requests wait in its sockets until it goes on. */
   void standStill(long ms) {
     Vm vm = vms.get(random.nextInt(VMS));
     vm.hearsAgainMs = loop.millis() + ms;
@@ -366,17 +380,17 @@
     loop.schedule(NEWS_MS, this::tellAll);
     for (Vm vm : vms) {
       vm.world.state.quarantine().nextRound();
-      List<SuspectNews> news = vm.world.state.quarantine().news();
+      List<SuspectNews> sent = vm.world.state.quarantine().news();
       for (Vm other : vms) {
-        boolean hears = loop.millis() >= Math.max(other.hearsAgainMs, vm.hearsAgainMs);
-        if (other != vm && hears && random.nextDouble() >= NEWS_LOST) {
-          other.world.state.quarantine().heard(news);
+        boolean isReachable = loop.millis() >= Math.max(other.hearsAgainMs, vm.hearsAgainMs);
+        if (other != vm && isReachable && random.nextDouble() >= NEWS_LOST) {
+          other.world.state.quarantine().heard(sent);
         }
       }
     }
   }
 
-  /** Names a request that ends each server that begins it. */
+  /** Makes requests with a path crash each server that starts them. */
   void deadly(String path) {
     culprits.put(path, new Culprit());
   }
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/CrashingRequestSeedsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/CrashingRequestSeedsTest.java
@@ -22,21 +22,21 @@
 import org.testng.annotations.Test;
 
 /**
- * Two requests end whatever server begins them, one of them a stream that is resumed, and come
- * again and again at any of five VMs; servers also end for other reasons, and VMs are lost one by
- * one and all at once, or hear nothing for seconds. Three seconds after its third end a request
- * reaches three servers at most, by VMs without trouble; and no request is refused under which
- * fewer than three servers ended.
+ * Tests the quarantine in simulated runs of five VMs. Two requests, one of them a resumable stream,
+ * crash each server that starts them and are sent again and again to random VMs. Servers also crash
+ * for other reasons, and VMs restart, one or all at once, or pause for seconds. From three seconds
+ * after its third crash, VMs without trouble send a request to at most three more servers. No
+ * request is quarantined before three servers crashed while they had it.
  */
 public final class CrashingRequestSeedsTest {
-  /** Days of each trouble; 1,000 were run by hand. */
+  /** Simulated runs for each trouble; 1,000 were run once by hand. */
   private static final int SEEDS = 40;
 
   private static final long DAY_MS = 60_000;
   private static final long STEP_MS = 50;
   private static final int MOST_LATER_SENDS = 3;
 
-  /** What else happens on a day. */
+  /** What else happens in a run. */
   private enum Trouble {
     NONE,
     SERVERS_END,
@@ -62,25 +62,25 @@
     int shared = 0;
     for (int seed = 0; seed < SEEDS; seed++) {
       CrashingFleet fleet = day(trouble, seed);
-      String day = trouble + ", seed " + seed;
+      String run = trouble + ", seed " + seed;
       fleet.culprits.forEach(
           (path, culprit) -> {
-            assertTrue(culprit.refused > 0, path + " was never refused, " + day);
+            assertTrue(culprit.refused > 0, path + " was never quarantined, " + run);
             assertTrue(
                 culprit.sentTooLate <= MOST_LATER_SENDS,
-                path + " was sent " + culprit.sentTooLate + " times more, " + day);
+                path + " was sent " + culprit.sentTooLate + " times too late, " + run);
           });
-      assertEquals(fleet.wronglyQuarantined, 0, day);
+      assertEquals(fleet.wronglyQuarantined, 0, run);
       served += fleet.innocentServed;
       shared += fleet.sharedThreeEnds;
     }
     assertTrue(served > SEEDS * DAY_MS / STEP_MS * 0.9, "served " + served);
-    assertEquals(shared, 0, "refused after three shared ends");
+    assertEquals(shared, 0, "harmless requests quarantined after three shared crashes");
   }
 
   /**
-   * One in millions of requests is refused though it is innocent: it was resumed at the same engine
-   * as the deadly one, and its caller sent it again at the moment at which that one came again.
+   * About one in millions of harmless requests is quarantined: this one was resumed at the same
+   * engine as the crashing request, and its caller sent it again at the same moment as that one.
    */
   @Test
   public void aRequestThatSharedThreeEndsIsRefused() {
@@ -93,10 +93,10 @@
     CrashingFleet fleet = new CrashingFleet(seed);
     fleet.deadly("/never/deadly");
     fleet.deadly("/chat/deadly");
-    int innocent = 0;
+    int sent = 0;
     for (long at = 0; at < DAY_MS; at += STEP_MS) {
-      innocent++;
-      fleet.send((innocent % 2 == 0 ? "/never/" : "/chat/") + innocent, false);
+      sent++;
+      fleet.send((sent % 2 == 0 ? "/never/" : "/chat/") + sent, false);
       for (String path : fleet.culprits.keySet()) {
         if (fleet.chance(0.08)) {
           fleet.send(path, false);
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/CrashingRequestTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/CrashingRequestTest.java
@@ -26,18 +26,17 @@
 import org.testng.annotations.Test;
 
 /**
- * One request of one team ended ten engines in eleven seconds, and with each of them broke off one
- * to three requests of other callers.
+ * Tests the quarantine of requests that crash servers. It guards against an outage in which one
+ * request crashed ten engines in eleven seconds, and each crash broke one to three requests of
+ * other callers.
  *
- * <p>Order of events: an engine begins the request and ends 0.1 s later; its connections close in
- * the middle of the answers, its address refuses connections, and a few seconds later it is back as
- * another start. A second later the caller sends the same path and body again, under a new id and
- * to another VM, which gives it to the next engine.
- *
- * <p>Cause: what broke off was charged to the server alone, and a request was known by its id
- * alone. Evidence: the lines of six VMs tell of ten drawing reviews of one team with 16,553 tokens
- * and ten ids, each sent to one engine, each engine gone within half a second; nothing else was
- * under way at all ten.
+ * <p>Each engine crashed 0.1 s after it started the request: its connections closed in the middle
+ * of responses, its address refused connections, and a few seconds later it was back as a new
+ * instance. After a second the caller sent the same path and body (16,553 tokens) again, with a new
+ * id and to another VM, which chose the next engine. Broken requests counted only against the
+ * server, and requests were told apart only by their ids, so no VM linked the crashes. The logs of
+ * six VMs showed ten such requests of one team, each at one engine that was gone within half a
+ * second, and no other request that was under way at all ten engines.
  */
 public final class CrashingRequestTest {
   private static final String PATH = "/never/x";
@@ -57,7 +56,7 @@
     starts = 3;
   }
 
-  /** A server ends under all that it has, and is back as another start. */
+  /** Crashes the server of a call, and starts a new instance. */
   private void serverEnds(FakeTransport.Sent sent) {
     sent.listener.broken("the connection closed before the answer was whole");
     world.book.remove(sent.call.serverId(), 2);
@@ -90,19 +89,19 @@
     assertEquals(world.transport.sends.size(), 3);
   }
 
-  /** The refusal is final for an hour, and says so; others of the same caller are served. */
+  /** The retry delay says that the quarantine lasts an hour. Other requests are served. */
   @Test
   public void itsCallerIsToldToStayAwayAndOthersAreServed() {
     threeServersEnd(PATH);
     RecordingSink sink = world.serve(PATH);
     assertEquals(sink.seen.toString(), "refused QUARANTINED");
-    assertTrue(sink.retryAfterMs > 3_590_000, "come back in " + sink.retryAfterMs);
+    assertTrue(sink.retryAfterMs > 3_590_000, "retry after " + sink.retryAfterMs);
     RecordingSink other = world.serve("/never/y");
     world.transport.last().answer(200, "hello");
     assertEquals(other.seen.toString(), "answer 200 hello");
   }
 
-  /** Each end was seen by another VM; a fourth VM that started meanwhile saw none. */
+  /** Each of three VMs sees one crash; a fourth VM that has just started sees none. */
   @Test
   public void whatOneVmSawAllKnow() {
     List<ServingWorld> vms = new ArrayList<>();
@@ -123,7 +122,7 @@
     assertEquals(vms.get(0).serve(PATH).seen.toString(), "refused QUARANTINED");
   }
 
-  /** Two VMs have sent it when a third one sees the last end: no server is to begin it any more. */
+  /** A call that is under way when another VM sees the last crash is cancelled. */
   @Test
   public void whatWasSentMeanwhileIsTakenBackFromServersThatDidNotBeginIt() {
     RecordingSink sink = world.serve(PATH);
@@ -133,10 +132,10 @@
     }
     world.loop.advance(1);
     assertTrue(sent.cancelled);
-    assertEquals(sink.seen.toString(), "refused OUTCOME_UNKNOWN", "it may have begun all the same");
+    assertEquals(sink.seen.toString(), "refused OUTCOME_UNKNOWN", "the server may have started it");
   }
 
-  /** The next server would be begun on before the end of the last one is proved. */
+  /** Otherwise the next server would start it before the crash of the last one is confirmed. */
   @Test
   public void aSuspectThatBrokeOffAgainIsNotSentToTheNextServerAtOnce() {
     world.serve("/safe/x");
@@ -145,7 +144,7 @@
       world.state.quarantine().charge(SAFE_DIGEST, start);
     }
     sent.listener.broken("closed");
-    assertEquals(world.transport.sends.size(), 1, "whether the server ended is not known yet");
+    assertEquals(world.transport.sends.size(), 1, "whether the server crashed is not known yet");
   }
 
   @DataProvider
@@ -153,16 +152,16 @@
     return new Object[][] {{"refused"}, {"gone"}, {"another start"}};
   }
 
-  /** The address refuses connections at once; the entry goes seconds later. */
+  /** The address refuses connections at once; the entry is removed seconds later. */
   @Test(dataProvider = "proofs")
-  public void thatAServerEndedIsProved(String proof) {
+  public void thatAServerEndedIsProved(String evidence) {
     world.serve(PATH);
     FakeTransport.Sent sent = world.transport.last();
     String id = sent.call.serverId();
     world.book.put(ServingWorld.plain(id, "dc-1").startedAt(4_000), 2);
     sent.listener.broken("closed");
-    assertEquals(world.state.quarantine().ends(DIGEST), 0, "a broken connection is no proof");
-    switch (proof) {
+    assertEquals(world.state.quarantine().ends(DIGEST), 0, "a broken connection alone is no crash");
+    switch (evidence) {
       case "refused" -> world.transport.probes.get(0).accept(true);
       case "gone" -> world.book.remove(id, 3);
       default -> world.book.put(ServingWorld.plain(id, "dc-1").startedAt(5_000), 3);
@@ -170,7 +169,7 @@
     assertEquals(world.state.quarantine().ends(DIGEST), 1);
   }
 
-  /** Resets, spoilt answers and planned ends charge nobody. */
+  /** Reset connections and planned shutdowns do not count as crashes. */
   @Test
   public void serversThatDoNotEndUnderARequestChargeNobody() {
     world.serve(PATH);
@@ -190,12 +189,13 @@
     planned.listener.broken("closed");
     world.book.remove(id, 4);
     assertEquals(world.state.quarantine().ends(DIGEST), 0);
-    assertEquals(world.transport.probes.size(), 2, "a planned end is not looked at");
+    assertEquals(world.transport.probes.size(), 2, "no probe after a planned shutdown");
   }
 
   /**
-   * A server that ended took a connection for a moment longer: the end was not charged, and the
-   * request got a server more. Seen at two of some 45 ends of servers over sockets.
+   * A crashing server may accept connections for a moment longer. When it was probed only once,
+   * such a crash was not counted and the request got one more server: 2 of about 45 crashes in
+   * tests over sockets.
    */
   @Test
   public void aServerThatEndsAMomentLaterIsLookedAtAgain() {
@@ -208,10 +208,10 @@
     assertEquals(world.state.quarantine().ends(DIGEST), 1);
   }
 
-  /** Ten requests of others share each server that ends, and end well when they come again. */
+  /** Ten harmless requests are at each server that crashes, and are served when sent again. */
   @Test
   public void requestsThatSharedTheServersAreServedAgain() {
-    for (int end = 0; end < 8; end++) {
+    for (int crash = 0; crash < 8; crash++) {
       List<FakeTransport.Sent> shared = new ArrayList<>();
       for (int i = 0; i < 10; i++) {
         world.serve("/never/other" + i);
@@ -227,9 +227,10 @@
       }
       serverEndsOnly(server);
       for (int i = 0; i < 10; i++) {
-        RecordingSink again = world.serve("/never/other" + i);
+        RecordingSink retried = world.serve("/never/other" + i);
         world.transport.last().answer(200, "hello");
-        assertEquals(again.seen.toString(), "answer 200 hello", "after " + (end + 1) + " ends");
+        assertEquals(
+            retried.seen.toString(), "answer 200 hello", "after " + (crash + 1) + " crashes");
       }
     }
   }
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/FakeTransport.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/FakeTransport.java
@@ -20,15 +20,16 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 
-/** Keeps what is sent; the test plays the servers. */
+/** Records calls and probes; the test plays the servers. */
 final class FakeTransport implements BackendTransport {
   final List<Sent> sends = new ArrayList<>();
   final List<String> forgotten = new ArrayList<>();
   final List<Consumer<Boolean>> probes = new ArrayList<>();
 
-  /** The address of each probe. */
+  /** The address of each probe, in the order of {@link #probes}. */
   final List<String> probed = new ArrayList<>();
 
+  /** A call that was sent, with methods by which a test responds to it. */
   static final class Sent {
     final BackendCall call;
     final Listener listener;
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/FleetAdmissionServingTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/FleetAdmissionServingTest.java
@@ -28,22 +28,26 @@
 import org.testng.annotations.Test;
 
 /**
- * Engines with too little room for what comes to several VMs: who is let in is in time, the others
- * are told at once, also while one thing fails.
+ * Tests fleet-wide admission control with engines that are too small for the load at several VMs.
+ * Admitted requests meet their target latency and the others are refused at once, also while one
+ * thing fails.
  */
 public final class FleetAdmissionServingTest {
   private static final long SEED = 3;
   private static final long PLAY_MS = 15_000;
 
-  /** Of what is let in; what comes in the first moment of an overload is among it. */
+  /**
+   * The largest share of admitted requests that may be late, those at the start of an overload
+   * included.
+   */
   private static final double MOST_LATE = 0.05;
 
   private static final int MESH = 7;
   private static final int HUBS = 30;
 
-  private static SharedEngines played(int vms, double load, Consumer<SharedEngines> trouble) {
+  private static SharedEngines played(int vms, double load, Consumer<SharedEngines> disturb) {
     SharedEngines fleet = new SharedEngines(vms, Set.of(), SEED);
-    trouble.accept(fleet);
+    disturb.accept(fleet);
     fleet.play(2_000, 0.4);
     fleet.calls.clear();
     fleet.play(PLAY_MS, load);
@@ -53,7 +57,7 @@
   private static void assertInTimeOrToldAtOnce(SharedEngines fleet) {
     fleet.finish();
     double late = fleet.part(SharedEngines.Call::isAdmitted, call -> !call.isInTime());
-    assertTrue(late <= MOST_LATE, "late of what was let in: " + late);
+    assertTrue(late <= MOST_LATE, "share of admitted requests that were late: " + late);
   }
 
   @DataProvider
@@ -63,15 +67,15 @@
 
   @Test(dataProvider = "fleets")
   public void nothingIsRefusedAtHalfTheLoad(int vms) {
-    SharedEngines fleet = played(vms, 0.5, trouble -> {});
+    SharedEngines fleet = played(vms, 0.5, each -> {});
     assertEquals(fleet.part(call -> true, call -> call.isRefused), 0.0);
     assertInTimeOrToldAtOnce(fleet);
   }
 
   @Test(dataProvider = "fleets")
   public void twiceTheLoadKeepsWhatIsServedInTime(int vms) {
-    SharedEngines full = played(vms, 1, trouble -> {});
-    SharedEngines twice = played(vms, 2, trouble -> {});
+    SharedEngines full = played(vms, 1, each -> {});
+    SharedEngines twice = played(vms, 2, each -> {});
     assertInTimeOrToldAtOnce(twice);
     String counts = twice.inTime() + " in time, " + full.inTime() + " without overload";
     assertTrue(twice.inTime() >= 0.9 * full.inTime(), counts);
@@ -79,7 +83,7 @@
 
   @Test(dataProvider = "fleets")
   public void aShortageIsOverWithinASecond(int vms) {
-    SharedEngines fleet = played(vms, 2, trouble -> {});
+    SharedEngines fleet = played(vms, 2, each -> {});
     fleet.play(1_000, 0.4);
     fleet.calls.clear();
     fleet.play(3_000, 0.4);
@@ -97,23 +101,23 @@
   }
 
   /**
-   * By way of hubs a VM misses more than one message in four with these losses. What was late had
-   * waited at an engine: 30 VMs that see room there send to it at the same moment.
+   * Through hubs, a VM misses more than one message in four at this loss rate. Late requests had
+   * waited at an engine, because 30 VMs saw free capacity there and sent to it at the same moment.
    */
   @Test
   public void lostNewsByWayOfHubsChangeLittle() {
     assertInTimeOrToldAtOnce(played(HUBS, 2, fleet -> fleet.newsLost = 0.1));
   }
 
-  /** Each VM by itself: what all of this is for. */
+  /** With the mechanism off each VM acts by itself, and more requests are late. */
   @Test
   public void withoutItMostAreLate() {
     SharedEngines alone = new SharedEngines(HUBS, Set.of(Mechanism.FLEET_ADMISSION), SEED);
     alone.play(PLAY_MS, 2);
     alone.finish();
     double late = alone.part(SharedEngines.Call::isAdmitted, call -> !call.isInTime());
-    assertTrue(late > MOST_LATE, "late of what was let in: " + late);
-    SharedEngines fleet = played(HUBS, 2, trouble -> {});
+    assertTrue(late > MOST_LATE, "share of admitted requests that were late: " + late);
+    SharedEngines fleet = played(HUBS, 2, each -> {});
     fleet.finish();
     assertTrue(fleet.inTime() > alone.inTime(), fleet.inTime() + " and " + alone.inTime());
   }
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ManualLoop.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ManualLoop.java
@@ -20,7 +20,7 @@
 import java.util.Deque;
 import java.util.PriorityQueue;
 
-/** A loop whose clock moves only when a test says so. */
+/** An event loop whose clock moves only when a test advances it. */
 public final class ManualLoop implements EventLoop {
   private final PriorityQueue<Scheduled> scheduled =
       new PriorityQueue<>(
@@ -48,7 +48,7 @@
     soon.add(task);
   }
 
-  /** Moves the clock and runs what is due. */
+  /** Advances the clock, and runs the tasks that fall due. */
   public void advance(long ms) {
     long end = nowMs + ms;
     runSoon();
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/RecordingSink.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/RecordingSink.java
@@ -20,12 +20,12 @@
 import java.util.function.LongSupplier;
 import org.landingtrack.ErrorKind;
 
-/** Keeps what a caller would see, as one line for each step. */
+/** Records what a caller receives, as one entry for each call of the sink. */
 final class RecordingSink implements CallerSink {
   final StringBuilder seen = new StringBuilder();
   long retryAfterMs = -1;
 
-  /** When the caller was refused, by the clock that a test gives. */
+  /** When the request was refused, by {@link #clock}. */
   long refusedAtMs = -1;
 
   LongSupplier clock = () -> 0;
@@ -36,8 +36,8 @@
   }
 
   @Override
-  public void refuse(ErrorKind kind, String why, long retryAfter) {
-    retryAfterMs = retryAfter;
+  public void refuse(ErrorKind kind, String why, long retryMs) {
+    retryAfterMs = retryMs;
     refusedAtMs = clock.getAsLong();
     add("refused " + kind);
   }
@@ -62,10 +62,10 @@
     add("abort");
   }
 
-  private void add(String line) {
+  private void add(String entry) {
     if (seen.length() > 0) {
       seen.append("; ");
     }
-    seen.append(line);
+    seen.append(entry);
   }
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/RequestRunTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/RequestRunTest.java
@@ -28,6 +28,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/**
+ * Tests {@link RequestRun}: where requests are sent, when they are retried or refused, and what
+ * their callers receive.
+ */
 public final class RequestRunTest {
   private ServingWorld world = new ServingWorld();
 
@@ -60,7 +64,7 @@
     assertTrue(world.transport.sends.isEmpty());
   }
 
-  /** It lay in the socket of a VM that was busy; nobody can serve it any more. */
+  /** The request waited in the socket of a busy VM until hardly any time was left for it. */
   @Test
   public void aRequestWhoseTimeIsOverWhenItIsReadIsRefusedAtOnce() {
     CallerRequest late = world.request("/safe/x", ServingWorld.KEY, 500);
@@ -85,7 +89,7 @@
     assertTrue(sink.retryAfterMs > 0);
   }
 
-  /** Path, what the first server does, and what the caller sees without a second server. */
+  /** The path, whether the request is retried, and what the caller has received by then. */
   @DataProvider
   public Object[][] brokenSends() {
     return new Object[][] {
@@ -100,12 +104,12 @@
 
   @Test(dataProvider = "brokenSends")
   public void whatMayHaveRunIsSentAgainOnlyWhereAllowed(
-      String path, boolean again, String expected) {
+      String path, boolean isRetried, String expected) {
     RecordingSink sink = world.serve(path);
     world.transport.last().listener.broken("reset");
-    assertEquals(world.transport.sends.size(), again ? 2 : 1);
+    assertEquals(world.transport.sends.size(), isRetried ? 2 : 1);
     assertEquals(sink.seen.toString(), expected);
-    if (again) {
+    if (isRetried) {
       assertNotEquals(
           world.transport.sends.get(0).call.serverId(), world.transport.last().call.serverId());
     }
@@ -119,7 +123,10 @@
     assertTrue(sink.retryAfterMs > 0);
   }
 
-  /** A send that was refused may be repeated; after one in doubt nothing may, nor be promised. */
+  /**
+   * A request that may run only once is retried after a refusal. After an attempt that may have run
+   * it is not retried, and the caller is not told that it did not run.
+   */
   @Test
   public void oneSendInDoubtEndsARequestThatMayRunOnce() {
     RecordingSink sink = world.serve("/unsafe/x");
@@ -246,7 +253,7 @@
     assertEquals(sink.seen.toString(), "refused NO_BACKEND_SERVER");
   }
 
-  /** Each named version has its own bound, also when a newer one was named meanwhile. */
+  /** The age limit applies to each weight version by itself, also once a newer one is named. */
   @Test
   public void weightsThatAreTooOldAreNotUsed() {
     world.nameWeights(2);
@@ -279,18 +286,20 @@
 
   @Test
   public void retriesAreBounded() {
-    int again = 0;
+    int retries = 0;
     for (int i = 0; i < 100; i++) {
       int before = world.transport.sends.size();
       world.serve("/safe/x");
       world.transport.last().listener.broken("reset");
-      again += world.transport.sends.size() - before - 1;
+      retries += world.transport.sends.size() - before - 1;
     }
-    assertTrue(again <= 3 + 20, "sent again: " + again);
-    assertFalse(again == 0);
+    assertTrue(retries <= 3 + 20, "retries: " + retries);
+    assertFalse(retries == 0);
   }
 
-  /** The caller's deadline, how long the first server had it, and what the second one is given. */
+  /**
+   * The deadline of the caller, the time at the first server, and the time that the second gets.
+   */
   @DataProvider
   public Object[][] deadlines() {
     return new Object[][] {
@@ -312,7 +321,9 @@
     assertEquals(world.transport.last().call.leftMs(), leftMs);
   }
 
-  /** What one team's request left in a store or an engine is neither found nor fetched. */
+  /**
+   * Parts that one team's requests left in a store or an engine are not used for an isolated team.
+   */
   @Test
   public void anIsolatedTeamSharesNoPartWithOthers() {
     PartStores stores = world.state.parts();
@@ -324,10 +335,10 @@
     assertTrue(world.transport.last().call.moves().fetches());
     world.transport.last().answer(200, "");
     world.serve("/chat/x", ServingWorld.WALLED_KEY);
-    BackendTransport.BackendCall walled = world.transport.last().call;
-    assertFalse(walled.moves().fetches());
-    assertEquals(walled.cacheScope(), "v1-team-2");
-    assertTrue(walled.moves().saves(), "saved under its own scope");
+    BackendTransport.BackendCall isolated = world.transport.last().call;
+    assertFalse(isolated.moves().fetches());
+    assertEquals(isolated.cacheScope(), "v1-team-2");
+    assertTrue(isolated.moves().saves(), "saved under its own scope");
     stores.changed(address, 1, world.loop.millis(), Map.of("v1-team-2/a", 500), List.of());
     world.serve("/chat/x", ServingWorld.WALLED_KEY);
     assertTrue(world.transport.last().call.moves().fetches());
@@ -342,33 +353,33 @@
     assertEquals(sink.seen.toString(), "refused NO_BACKEND_SERVER");
   }
 
-  /** A key that was taken away is refused from then on; what runs already goes on. */
+  /** A revoked key is refused from then on; requests under way with it go on. */
   @Test
   public void aRevokedKeyIsRefusedAtOnce() {
-    RecordingSink before = world.serve("/never/x", ServingWorld.WALLED_KEY);
-    Team kept = new Team("team-1", false, -1);
-    world.state.configure(ServingWorld.config(2, "plain", Map.of(ServingWorld.KEY, kept)), 2);
-    RecordingSink after = world.serve("/never/x", ServingWorld.WALLED_KEY);
-    assertEquals(after.seen.toString(), "refused UNAUTHENTICATED");
+    RecordingSink underWay = world.serve("/never/x", ServingWorld.WALLED_KEY);
+    Team remaining = new Team("team-1", false, -1);
+    world.state.configure(ServingWorld.config(2, "plain", Map.of(ServingWorld.KEY, remaining)), 2);
+    RecordingSink refused = world.serve("/never/x", ServingWorld.WALLED_KEY);
+    assertEquals(refused.seen.toString(), "refused UNAUTHENTICATED");
     world.transport.last().answer(200, "hello");
-    assertEquals(before.seen.toString(), "answer 200 hello");
+    assertEquals(underWay.seen.toString(), "answer 200 hello");
   }
 
-  /** A server asked for less while the connection to it came up: others have the request. */
+  /** A server that asked for less load while the connection opened does not get the request. */
   @Test
   public void whatWasCalledBackGoesElsewhereAndCostsNoRetry() {
-    ServingWorld world = new ServingWorld();
-    RecordingSink sink = world.serve("/never/x");
+    ServingWorld fresh = new ServingWorld();
+    RecordingSink sink = fresh.serve("/never/x");
     for (int i = 0; i < 2; i++) {
-      FakeTransport.Sent first = world.transport.last();
+      FakeTransport.Sent first = fresh.transport.last();
       assertTrue(first.call.mayStillGo().getAsBoolean());
-      world.book.find(first.call.serverId()).rest().asked(1_000, world.loop.millis());
-      world.book.find(first.call.serverId()).noticed();
+      fresh.book.find(first.call.serverId()).rest().asked(1_000, fresh.loop.millis());
+      fresh.book.find(first.call.serverId()).noticed();
       assertFalse(first.call.mayStillGo().getAsBoolean());
       first.listener.notRun(NotRunReason.RECALLED, "less");
     }
-    world.transport.last().answer(200, "hello");
+    fresh.transport.last().answer(200, "hello");
     assertEquals(sink.seen.toString(), "answer 200 hello");
-    assertEquals(world.transport.sends.size(), 3);
+    assertEquals(fresh.transport.sends.size(), 3);
   }
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ServingWorld.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ServingWorld.java
@@ -25,7 +25,9 @@
 import org.landingtrack.internal.serving.Route.Repeat;
 import org.landingtrack.internal.serving.ServiceInfo.EngineInfo;
 
-/** A VM's serving part with fake servers: two engines, three plain servers, one team. */
+/**
+ * A VM that serves requests, with a fake transport, two engines, three plain servers and two teams.
+ */
 final class ServingWorld {
   static final String MODEL = "m";
   static final String KEY = "key-1";
@@ -45,25 +47,24 @@
     this(new ManualLoop());
   }
 
-  /** Creates a VM on a loop that it may share with others. */
+  /** Creates a VM on an event loop that it may share with other VMs. */
   ServingWorld(ManualLoop loop) {
     this(loop, new BoundedDecisionLog(new StructuredDecisionLog(), loop), "10.0.1.1:70", 0);
   }
 
   /**
-   * Creates a VM among others.
+   * Creates one VM of several.
    *
-   * @param log hears of its decisions
-   * @param address where it hears news of the others
+   * @param log receives its decisions
+   * @param address where it receives news from the other VMs
    * @param salt differs from VM to VM and from start to start
    */
   ServingWorld(ManualLoop loop, DecisionLog log, String address, long salt) {
     this(loop, log, address, salt, Set.of());
   }
 
-  /** Creates a VM among others, without some mechanisms. */
-  ServingWorld(
-      ManualLoop loop, DecisionLog log, String address, long salt, Set<Mechanism> without) {
+  /** Creates one VM of several, with some mechanisms off. */
+  ServingWorld(ManualLoop loop, DecisionLog log, String address, long salt, Set<Mechanism> off) {
     this.loop = loop;
     this.log = log;
     this.book = new ServerBook(loop, log, 1_400, 2_500);
@@ -75,7 +76,7 @@
             state,
             transport,
             log,
-            new ServingOptions("dc-1", 20, 8_000, Map.of(), 1, 0, salt, null, without));
+            new ServingOptions("dc-1", 20, 8_000, Map.of(), 1, 0, salt, null, off));
     state.configure(config(1, "plain"), 1);
     state.weightsListed();
     book.replaceAll(
@@ -112,8 +113,8 @@
 
   static ServingConfig config(long version, String plainService) {
     Team open = new Team("team-1", false, -1);
-    Team walled = new Team("team-2", true, -1);
-    return config(version, plainService, Map.of(KEY, open, WALLED_KEY, walled));
+    Team isolated = new Team("team-2", true, -1);
+    return config(version, plainService, Map.of(KEY, open, WALLED_KEY, isolated));
   }
 
   static ServingConfig config(long version, String plainService, Map<String, Team> keys) {
@@ -178,7 +179,7 @@
         loop.millis());
   }
 
-  /** Names weights, heard of at once. */
+  /** Names a version of the weights, which the VM learns of at once. */
   void nameWeights(long version) {
     state.nameWeights(MODEL, version, version, loop.millis(), ServingState.Heard.WATCH);
   }
