--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/EventLoop.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/EventLoop.java
@@ -19,7 +19,7 @@
 
 /** The single thread on which requests are served, with its clock. Tests use a manual one. */
 public interface EventLoop extends Ticker {
-  /** Runs a task on the loop after a delay in milliseconds. Call it on the loop only. */
+  /** Runs a task on the loop after a delay in milliseconds. */
   Timer schedule(long delayMs, Runnable task);
 
   /** Queues a task to run on the loop. Safe to call from any thread. */
