--- a/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimCommitter.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimCommitter.java
@@ -36,19 +36,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Commits the claims of one shard in groups: those that come while a commit is under way go
- * together into the next one.
+ * Commits the claims of one shard in batches: the claims that arrive during a commit go together
+ * into the next one.
  *
- * <p>The conditional update is the fence. Two controllers that both think they own the shard, or
- * one that was paused, cannot both succeed from the same version; the one that loses reads again
- * and decides again. So no lease is needed. Thread-safe.
+ * <p>Conditional updates provide the fencing. If two controllers both consider themselves the owner
+ * of the shard, for example because one was paused, only one of them can succeed from the same
+ * version; the other reads the shard again and decides again. So no lease is needed. Thread-safe.
  */
 public final class ClaimCommitter implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("claim");
   private static final int MAX_WAITING = 4_096;
   private static final int MAX_TRIES = 6;
 
-  /** Least time between two commits of a shard; 16 shards then stay below 80 writes a second. */
+  /** Minimum interval between commits of a shard; keeps 16 shards below 80 writes a second. */
   private static final long MIN_GAP_MS = 200;
 
   private static final Verdict UNAVAILABLE = new Verdict(Outcome.UNAVAILABLE, "");
@@ -66,6 +66,12 @@
 
   private record Waiting(Wish wish, CompletableFuture<Verdict> verdict) {}
 
+  /**
+   * Creates a committer with a thread of its own.
+   *
+   * @param shard name of the shard; its object is {@code claims/SHARD}
+   * @param wallClock milliseconds since the Unix epoch
+   */
   public ClaimCommitter(ObjectApi api, String shard, LongSupplier wallClock) {
     this.api = api;
     this.key = "claims/" + shard;
@@ -73,7 +79,10 @@
     this.duty = Duty.start("claim-" + shard, 16);
   }
 
-  /** Asks for a claim; the future never fails. */
+  /**
+   * Requests a claim. The future never fails; its outcome is UNAVAILABLE if too many claims wait or
+   * the commit is not confirmed.
+   */
   public CompletableFuture<Verdict> claim(Wish wish) {
     CompletableFuture<Verdict> verdict = new CompletableFuture<>();
     synchronized (waiting) {
@@ -90,16 +99,16 @@
   }
 
   /**
-   * Gives up the claim of a request that is known never to run, so that its caller may come again
-   * with the same key. It goes with the next group; if it is lost, the key merely stays claimed
-   * until it expires.
+   * Releases the claim of a request that is known never to run, so that its caller may retry with
+   * the same key. The release is committed with the next batch; if it is lost, the key only stays
+   * claimed until the claim expires.
    */
-  public void release(String by) {
+  public void release(String requestId) {
     synchronized (waiting) {
       if (abandoned.size() >= MAX_WAITING) {
         return;
       }
-      abandoned.add(by);
+      abandoned.add(requestId);
       if (!scheduled) {
         scheduled = duty.offer(this::commitWaiting);
       }
@@ -108,24 +117,25 @@
 
   private void commitWaiting() {
     pace();
-    List<Waiting> group;
+    List<Waiting> batch;
     Set<String> released;
     synchronized (waiting) {
-      group = List.copyOf(waiting);
+      batch = List.copyOf(waiting);
       released = Set.copyOf(abandoned);
       waiting.clear();
       scheduled = false;
     }
-    List<Verdict> verdicts = commit(group.stream().map(Waiting::wish).toList(), released);
-    for (int i = 0; i < group.size(); i++) {
-      Waiting one = group.get(i);
-      one.verdict.complete(verdicts.get(i));
+    List<Verdict> verdicts = commit(batch.stream().map(Waiting::wish).toList(), released);
+    for (int i = 0; i < batch.size(); i++) {
+      Waiting claim = batch.get(i);
+      claim.verdict.complete(verdicts.get(i));
     }
   }
 
   /**
-   * Keeps all shards together below the platform's write rate: a busy shard collects claims for a
-   * moment instead of being refused by the platform. A shard at rest commits at once.
+   * Sleeps for the rest of {@link #MIN_GAP_MS} since the last commit. This keeps all shards
+   * together below the platform's write rate: a busy shard collects claims for a moment instead of
+   * being rejected by the platform. An idle shard commits at once.
    */
   private void pace() {
     long sinceMs = (System.nanoTime() - lastCommitNanos) / 1_000_000;
@@ -142,19 +152,20 @@
   }
 
   /**
-   * Commits a group; every wish is UNAVAILABLE if the platform does not confirm. That is no reason
-   * to give a claim back: a gateway that did not hear it in time asks the next controller, and runs
-   * the request with that one's word. Only {@link #release} tells that it never runs.
+   * Commits a batch of claims and releases. Every claim is UNAVAILABLE if the platform does not
+   * confirm the write. Such a claim must not be released here: a gateway that gets no answer in
+   * time asks the next controller and runs the request if that one confirms the claim. Only {@link
+   * #release} states that a request never runs.
    */
-  List<Verdict> commit(List<Wish> wishes, Set<String> released) {
-    for (int tries = 0; tries < MAX_TRIES; tries++) {
+  List<Verdict> commit(List<Wish> requests, Set<String> released) {
+    for (int attempts = 0; attempts < MAX_TRIES; attempts++) {
       try {
         if (knownVersion < 0) {
           readBack();
         }
         ClaimShard base = known.without(released);
-        Commit commit = base.decide(wishes, wallClock.getAsLong());
-        // Without a change the verdicts rest on claims that were committed before: safe as it is.
+        Commit commit = base.decide(requests, wallClock.getAsLong());
+        // Without a change the results depend only on committed claims; no write is needed.
         if (commit.changed() || base.claims().size() != known.claims().size()) {
           write(commit.next());
         }
@@ -166,10 +177,10 @@
           log.warn("Claims of {} cannot be committed: {}.", key, e.getMessage());
           break;
         }
-        // After a conflict or a lost answer the next try reads back what is there.
+        // After a conflict or a lost answer the next attempt reads the stored shard again.
       }
     }
-    return wishes.stream().map(wish -> UNAVAILABLE).toList();
+    return requests.stream().map(request -> UNAVAILABLE).toList();
   }
 
   private void write(ClaimShard next) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimShard.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimShard.java
@@ -23,41 +23,61 @@
 import java.util.Set;
 
 /**
- * The claimed keys of one shard as the Object API holds them: an immutable value that rules over
- * its own size and age.
+ * The claimed request keys of one shard, as stored in the Object API. An immutable value that
+ * limits the number and the age of its claims.
  *
- * @param claims key hash to claim, oldest first
+ * @param claims claims by hash of the request key, oldest first
  */
 public record ClaimShard(Map<String, Claim> claims) {
-  /** Claims in one object at most, which keeps it below the platform's value size. */
+  /** Maximum number of claims in a shard; keeps the object below the platform's value size. */
   public static final int MAX_CLAIMS = 8_000;
 
-  /** How long a key stays claimed, by the committers' wall clocks. */
+  /** How long a key stays claimed in milliseconds, by the committers' wall clocks. */
   public static final long KEEP_MS = 15 * 60_000;
 
   /**
-   * One claim.
+   * The claim of a key.
    *
-   * @param by request id that may run
-   * @param at when, in milliseconds since the Unix epoch
+   * @param by id of the request that may run
+   * @param at time of the claim in milliseconds since the Unix epoch
    */
   public record Claim(String by, long at) {}
 
-  /** Outcome of one claim in a commit. */
+  /** Outcome of a requested claim. */
   public enum Outcome {
+    /** The key is claimed for the request. */
     CLAIMED,
+    /** Another request has claimed the key. */
     TAKEN,
+    /** The shard has {@link #MAX_CLAIMS} claims. */
     FULL,
+    /** The claim could not be queued or its commit was not confirmed. */
     UNAVAILABLE
   }
 
-  /** A claim that is asked for. */
+  /**
+   * A requested claim.
+   *
+   * @param keyHash hash of the request key
+   * @param by id of the request
+   */
   public record Wish(String keyHash, String by) {}
 
-  /** A verdict on a wish; {@code by} names who holds the key if it is TAKEN. */
+  /**
+   * The result of a requested claim.
+   *
+   * @param by id of the request that holds the key if the outcome is CLAIMED or TAKEN; empty
+   *     otherwise
+   */
   public record Verdict(Outcome outcome, String by) {}
 
-  /** The next content with the verdicts in the order of the wishes. */
+  /**
+   * The decision on a batch of requested claims.
+   *
+   * @param next the shard with the new claims and without the expired ones
+   * @param verdicts results in the order of the requested claims
+   * @param changed true if there are new claims
+   */
   public record Commit(ClaimShard next, List<Verdict> verdicts, boolean changed) {}
 
   /** Returns a shard without claims. */
@@ -65,8 +85,8 @@
     return new ClaimShard(Map.of());
   }
 
-  /** Decides on a group of wishes. */
-  public Commit decide(List<Wish> wishes, long nowMs) {
+  /** Decides on a batch of requested claims; the first request for a free key gets it. */
+  public Commit decide(List<Wish> requests, long nowMs) {
     Map<String, Claim> next = new LinkedHashMap<>();
     claims.forEach(
         (key, claim) -> {
@@ -74,18 +94,18 @@
             next.put(key, claim);
           }
         });
-    List<Verdict> verdicts = new ArrayList<>(wishes.size());
+    List<Verdict> verdicts = new ArrayList<>(requests.size());
     boolean changed = false;
-    for (Wish wish : wishes) {
-      Claim known = next.get(wish.keyHash());
+    for (Wish request : requests) {
+      Claim known = next.get(request.keyHash());
       if (known != null) {
-        Outcome outcome = known.by().equals(wish.by()) ? Outcome.CLAIMED : Outcome.TAKEN;
+        Outcome outcome = known.by().equals(request.by()) ? Outcome.CLAIMED : Outcome.TAKEN;
         verdicts.add(new Verdict(outcome, known.by()));
       } else if (next.size() >= MAX_CLAIMS) {
         verdicts.add(new Verdict(Outcome.FULL, ""));
       } else {
-        next.put(wish.keyHash(), new Claim(wish.by(), nowMs));
-        verdicts.add(new Verdict(Outcome.CLAIMED, wish.by()));
+        next.put(request.keyHash(), new Claim(request.by(), nowMs));
+        verdicts.add(new Verdict(Outcome.CLAIMED, request.by()));
         changed = true;
       }
     }
@@ -93,18 +113,18 @@
   }
 
   /** Returns this shard without the claims of requests that are known never to run. */
-  public ClaimShard without(Set<String> abandoned) {
-    Map<String, Claim> left = new LinkedHashMap<>();
+  public ClaimShard without(Set<String> requestIds) {
+    Map<String, Claim> remaining = new LinkedHashMap<>();
     claims.forEach(
         (key, claim) -> {
-          if (!abandoned.contains(claim.by())) {
-            left.put(key, claim);
+          if (!requestIds.contains(claim.by())) {
+            remaining.put(key, claim);
           }
         });
-    return left.size() == claims.size() ? this : new ClaimShard(left);
+    return remaining.size() == claims.size() ? this : new ClaimShard(remaining);
   }
 
-  /** Returns how long until the oldest claim ends and makes room. */
+  /** Returns the milliseconds until the oldest claim expires and frees its place. */
   public OptionalLong roomInMs(long nowMs) {
     for (Claim claim : claims.values()) {
       return OptionalLong.of(Math.max(0, claim.at() + KEEP_MS - nowMs));
--- a/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimShards.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimShards.java
@@ -24,34 +24,45 @@
 import org.landingtrack.internal.claim.ClaimShard.Wish;
 import org.landingtrack.internal.platform.ObjectApi;
 
-/** All claim shards as one controller serves them. Thread-safe. */
+/**
+ * The claims of one controller: distributes request keys over shards and creates the committer of a
+ * shard on first use. Thread-safe.
+ */
 public final class ClaimShards implements AutoCloseable {
-  /** Number of shards. Changing it needs a stop of all claims for the time that keys are kept. */
+  /**
+   * Number of shards. To change it, all claims must be stopped for as long as keys stay claimed
+   * ({@link ClaimShard#KEEP_MS}).
+   */
   public static final int SHARDS = 16;
 
   private final ObjectApi api;
   private final LongSupplier wallClock;
   private final Map<String, ClaimCommitter> committers = new ConcurrentHashMap<>();
 
+  /**
+   * Creates the shards.
+   *
+   * @param wallClock milliseconds since the Unix epoch
+   */
   public ClaimShards(ObjectApi api, LongSupplier wallClock) {
     this.api = api;
     this.wallClock = wallClock;
   }
 
-  /** Returns the shard of a key. */
+  /** Returns the name of the shard of a key hash, which must begin with four hex digits. */
   public static String shardOf(String keyHash) {
-    int number = Integer.parseInt(keyHash.substring(0, 4), 16) % SHARDS;
-    return "shard-" + number;
+    int shard = Integer.parseInt(keyHash.substring(0, 4), 16) % SHARDS;
+    return "shard-" + shard;
   }
 
-  /** Asks for a claim; the future never fails. */
-  public CompletableFuture<Verdict> claim(String keyHash, String by) {
-    return committer(keyHash).claim(new Wish(keyHash, by));
+  /** Requests a claim; see {@link ClaimCommitter#claim}. */
+  public CompletableFuture<Verdict> claim(String keyHash, String requestId) {
+    return committer(keyHash).claim(new Wish(keyHash, requestId));
   }
 
-  /** Gives up the claim of a request that never ran. */
-  public void release(String keyHash, String by) {
-    committer(keyHash).release(by);
+  /** Releases the claim of a request that never ran. */
+  public void release(String keyHash, String requestId) {
+    committer(keyHash).release(requestId);
   }
 
   private ClaimCommitter committer(String keyHash) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/claim/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/claim/package-info.java
@@ -1,3 +1,3 @@
-/** At-most-once claims of request keys, committed in groups. */
+/** At-most-once claims of request keys, committed in batches. */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.claim;
--- a/landingtrack/src/main/java/org/landingtrack/internal/lease/Lease.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/lease/Lease.java
@@ -25,29 +25,29 @@
 import org.landingtrack.internal.platform.StoredObject;
 
 /**
- * A lease in the Object API with a fencing token.
+ * A lease with a fencing token, stored as a {@link LeaseRecord} in the Object API.
  *
- * <p>No wall clock is compared. Another process may take the lease only after it has itself seen
+ * <p>Wall clocks are not compared. Another process may take over the lease only after it has seen
  * the record unchanged for the whole duration plus a margin for clock drift. The holder counts from
- * before it sent its last successful renewal and stops at {@link #HOLD_SHARE} of the duration. A
- * holder that was paused may still believe in its lease for an instant; that is what the token in
- * every order is for.
+ * the time before it sent its last successful renewal and stops at {@link #HOLD_SHARE} of the
+ * duration. A holder that was paused may still consider itself the holder for an instant; every
+ * order therefore carries the fencing token.
  *
- * <p>A store that comes back from an older copy has lost who holds the lease. Whoever sees that, or
- * reads such a store for the first time, takes nothing before a holding that was lost must be over;
- * tokens go on above all that were given before.
+ * <p>A store that was rolled back to an older copy may have lost the current holder. A process that
+ * detects a rollback, or reads such a store for the first time, acquires nothing until a lease that
+ * the store has lost must have expired. Tokens continue above all earlier ones.
  *
  * <p>{@link #step}, {@link #look} and {@link #beforeUntilMs} are called by one thread; {@link
- * #token} by any.
+ * #token} may be called by any thread.
  */
 public final class Lease {
-  /** Share of the duration after which the holder stops by itself. */
+  /** Share of the duration after which a holder without a renewal stops on its own. */
   static final double HOLD_SHARE = 0.6;
 
-  /** How much longer than the duration others wait. */
+  /** Factor by which others wait longer than the duration, as a margin for clock drift. */
   static final double DRIFT_MARGIN = 1.1;
 
-  /** A generation has room for so many bits of holdings. */
+  /** Number of bits for the epochs within one generation of the store. */
   private static final int GENERATION_SHIFT = 32;
 
   private final ObjectApi api;
@@ -64,6 +64,13 @@
   private volatile long epoch;
   private volatile long holdUntilMs = Long.MIN_VALUE;
 
+  /**
+   * Creates a lease that is not held yet; makes no call to the store.
+   *
+   * @param name name of the lease; its object is {@code leases/NAME}
+   * @param self name of this process as holder
+   * @param durationMs how long others wait for a renewal before they take over; at least 10
+   */
   public Lease(ObjectApi api, Ticker ticker, String name, String self, long durationMs) {
     if (durationMs < 10) {
       throw new IllegalArgumentException("durationMs must be at least 10: " + durationMs);
@@ -75,26 +82,34 @@
     this.durationMs = durationMs;
   }
 
-  /** Returns the fencing token while the lease is held here; empty otherwise. */
+  /** Returns the fencing token while this process holds the lease; empty otherwise. */
   public OptionalLong token() {
-    long held = epoch;
-    return ticker.millis() < holdUntilMs ? OptionalLong.of(held) : OptionalLong.empty();
+    long current = epoch;
+    return ticker.millis() < holdUntilMs ? OptionalLong.of(current) : OptionalLong.empty();
   }
 
   /**
-   * Returns until when another holder may have held the lease before this holding, by this
-   * process's clock and at the latest; the smallest number if there was none.
+   * Returns the latest time, by this process's clock, until which a previous holder may have held
+   * the lease before the current term; {@link Long#MIN_VALUE} if there was none.
    */
   public long beforeUntilMs() {
     return beforeUntilMs;
   }
 
-  /** Returns how long a new holder must wait before orders to servers that check no fences. */
-  public long settleMs(long longestOrderMs) {
-    return (long) (durationMs * DRIFT_MARGIN) + longestOrderMs;
+  /**
+   * Returns how long a new holder must wait before it sends orders to servers that do not check
+   * fencing tokens.
+   *
+   * @param maxOrderMs longest time that an order may be in flight
+   */
+  public long settleMs(long maxOrderMs) {
+    return (long) (durationMs * DRIFT_MARGIN) + maxOrderMs;
   }
 
-  /** Acquires or renews if possible. Call it several times in a duration. */
+  /**
+   * Acquires or renews the lease if possible. Must be called several times per duration. Failures
+   * of the store are ignored: without a renewal the lease expires.
+   */
   public void step() {
     try {
       Optional<StoredObject> stored = read();
@@ -104,22 +119,23 @@
       }
       consider(stored.get());
     } catch (PlatformException e) {
-      // Without an answer the holding runs out by itself.
+      // Without an answer the lease expires on its own.
     }
   }
 
   /**
-   * Notes what is written without seeking the lease. A holding that comes later then knows that the
-   * one before ended long ago.
+   * Reads and records the state of the lease without acquiring it, so that a later term of this
+   * process knows how long ago the previous one ended.
    */
   public void look() {
     try {
       read().ifPresent(this::see);
     } catch (PlatformException e) {
-      // It is seen later, and then counts as newer than it is.
+      // The record is seen by a later read, and then counts as newer than it is.
     }
   }
 
+  /** Reads the record; a new generation of the store ends the term of this process. */
   private Optional<StoredObject> read() {
     Optional<StoredObject> stored = api.read(CallClass.LEASE, key);
     if (api.generation() != generation) {
@@ -130,7 +146,7 @@
     return stored;
   }
 
-  /** Returns until when a holding that the store has forgotten may last, by its longest time. */
+  /** Returns the latest time until which a lease that the store has lost may still be held. */
   private long forgottenUntilMs() {
     return generation == 0 ? Long.MIN_VALUE : unsureSinceMs + (long) (durationMs * DRIFT_MARGIN);
   }
@@ -143,11 +159,15 @@
     beforeUntilMs = forgottenUntilMs();
   }
 
-  /** Tokens of a later generation of the store are above all that it may have forgotten. */
-  private long nextEpoch(long before) {
-    return Math.max(before, generation << GENERATION_SHIFT) + 1;
+  /**
+   * Returns the epoch after {@code previous}. In a later generation of the store it is above all
+   * epochs that the store may have lost.
+   */
+  private long nextEpoch(long previous) {
+    return Math.max(previous, generation << GENERATION_SHIFT) + 1;
   }
 
+  /** Records the version of the lease record and when it was first seen. */
   private void see(StoredObject stored) {
     if (stored.version() != seenVersion) {
       seenVersion = stored.version();
@@ -155,6 +175,7 @@
     }
   }
 
+  /** Renews the lease if it is held here, or takes it over if it was released or has expired. */
   private void consider(StoredObject stored) {
     LeaseRecord record = Json.read(key, stored.value(), LeaseRecord.class);
     see(stored);
@@ -168,27 +189,29 @@
     if (now < forgottenUntilMs()) {
       return;
     }
-    boolean lapsed = now - seenSinceMs >= record.durationMs() * DRIFT_MARGIN;
-    if (record.holder().isEmpty() || lapsed) {
-      long until = seenSinceMs + (record.holder().isEmpty() ? 0 : longestHoldMs(record));
+    boolean expired = now - seenSinceMs >= record.durationMs() * DRIFT_MARGIN;
+    if (record.holder().isEmpty() || expired) {
+      long previousUntilMs = seenSinceMs + (record.holder().isEmpty() ? 0 : longestHoldMs(record));
       write(new LeaseRecord(self, nextEpoch(record.epoch()), durationMs, 0), stored.version());
-      beforeUntilMs = Math.max(until, forgottenUntilMs());
+      beforeUntilMs = Math.max(previousUntilMs, forgottenUntilMs());
     }
   }
 
-  /** How long a renewal that was just seen may be relied on by its holder, by this clock. */
+  /** Returns how long, by this clock, the holder may rely on a renewal that was just seen. */
   private static long longestHoldMs(LeaseRecord record) {
     return (long) (record.durationMs() * HOLD_SHARE * DRIFT_MARGIN);
   }
 
   /**
-   * A record in our name counts only while we still hold it: after a lapse, or from an earlier life
-   * of this VM, a new epoch is taken like anybody else's.
+   * Returns true if the record is of the current term of this process. A record in its name counts
+   * only while the lease is held: after it expired, or after a restart of this VM, the lease is
+   * acquired with a new epoch as by any other process.
    */
   private boolean isOurs(LeaseRecord record) {
     return record.holder().equals(self) && record.epoch() == epoch && ticker.millis() < holdUntilMs;
   }
 
+  /** Writes the record; if that succeeds, the lease is held from the time of sending. */
   private void write(LeaseRecord record, long expectedVersion) {
     long sentMs = ticker.millis();
     StoredObject written = api.write(CallClass.LEASE, key, Json.write(record), expectedVersion);
@@ -198,7 +221,7 @@
     holdUntilMs = sentMs + (long) (durationMs * HOLD_SHARE);
   }
 
-  /** Gives the lease back, so that the next holder need not wait. */
+  /** Releases the lease if it is held, so that the next holder need not wait for its expiry. */
   public void release() {
     if (token().isEmpty()) {
       return;
@@ -208,7 +231,7 @@
       api.write(
           CallClass.LEASE, key, Json.write(new LeaseRecord("", epoch, durationMs, 0)), seenVersion);
     } catch (PlatformException e) {
-      // It lapses by itself.
+      // The lease expires on its own.
     }
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/lease/LeaseRecord.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/lease/LeaseRecord.java
@@ -16,10 +16,11 @@
 package org.landingtrack.internal.lease;
 
 /**
- * What the Object API holds for a lease.
+ * The stored state of a lease in the Object API.
  *
- * @param holder name of the process that holds it; empty after it was given back
- * @param epoch raised with every new holding; the fencing token of its orders
- * @param durationMs how long it lasts without renewal, by the observer's own clock
+ * @param holder name of the process that holds the lease; empty after a release
+ * @param epoch increases with each new lease term; the fencing token of the holder's orders
+ * @param durationMs how long the lease lasts without a renewal, by the observer's own clock
+ * @param renewals number of renewals in this term; each renewal changes the record by it
  */
 public record LeaseRecord(String holder, long epoch, long durationMs, long renewals) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/lease/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/lease/package-info.java
@@ -1,3 +1,3 @@
-/** Leases with fencing tokens, kept in the Object API. */
+/** Leases with fencing tokens, stored in the Object API. */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.lease;
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/EngineControl.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/EngineControl.java
@@ -17,23 +17,28 @@
 
 import java.util.Map;
 
-/** Reports of engines and orders to them. Blocks for a bounded time; thread-safe. */
+/**
+ * Client of model engines: fetches their state and orders them to load weights. Calls block for a
+ * bounded time. Implementations are thread-safe.
+ */
 public interface EngineControl {
   /**
-   * An engine.
+   * A model engine.
    *
-   * @param startedMs when its latest known start began, by its time of day; 0 if that is not known
+   * @param startedMs when its latest known incarnation started, in milliseconds since the Unix
+   *     epoch by the engine's wall clock; 0 if unknown
    */
   record Engine(String id, String address, long startedMs) {}
 
   /**
-   * What an engine says of itself.
+   * The state that an engine reports.
    *
-   * @param weightVersions the version of each model's weights
-   * @param busy an order is under way
-   * @param ordersTaken counts the orders that it took since its start
-   * @param running requests that it runs
-   * @param startedMs when the start that reports began, by its time of day; 0 if it does not tell
+   * @param weightVersions version of the loaded weights by model
+   * @param busy true while the engine carries out an order
+   * @param ordersTaken number of orders that it has accepted since it started
+   * @param running number of requests in flight
+   * @param startedMs when the incarnation that reports started, in milliseconds since the Unix
+   *     epoch by the engine's wall clock; 0 if the engine does not report it
    */
   record Report(
       Map<String, Long> weightVersions,
@@ -47,33 +52,38 @@
   }
 
   /**
-   * An order to load weights.
+   * An order to load a version of a model's weights.
    *
-   * @param ordersTaken the engine takes the order only if it took just so many before
-   * @param holder who gives the order
-   * @param epoch fencing token
+   * @param ordersTaken expected number of orders that the engine has accepted; the engine rejects
+   *     the order if its number differs
+   * @param holder name of the lease holder that sends the order
+   * @param epoch fencing token of the lease
    */
   record LoadOrder(String model, long version, long ordersTaken, String holder, long epoch) {}
 
-  /** What became of an order. */
+  /** Outcome of an order. */
   enum Outcome {
-    /** It is under way. */
+    /** The engine accepted the order and carries it out. */
     TAKEN,
-    /** The engine has these weights already. */
+    /** The engine already has these weights. */
     HOLDS_ALREADY,
-    /** It was not taken and never will be. */
+    /** The engine rejected the order and will not carry it out later. */
     REFUSED,
-    /** No answer came: it may be taken, also later. */
+    /** No answer arrived: the engine may carry out the order, now or later. */
     UNKNOWN
   }
 
-  /** Asks an engine for its state; throws {@link EngineSilentException} if it does not answer. */
+  /**
+   * Fetches the state of an engine.
+   *
+   * @throws EngineSilentException if the engine does not answer
+   */
   Report report(Engine engine);
 
-  /** Gives an order. */
+  /** Sends a load order and returns its outcome. */
   Outcome load(Engine engine, LoadOrder order);
 
-  /** An engine did not answer. */
+  /** Thrown when an engine does not answer a request for its state. */
   final class EngineSilentException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/EngineOrders.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/EngineOrders.java
@@ -17,16 +17,21 @@
 
 import org.landingtrack.internal.weights.RollPlan.EngineState;
 
-/** Orders to model engines. Implementations are thread-safe. */
+/**
+ * Client of the model engines that a {@link WeightRoller} updates: fetches their state and orders
+ * them to load weights. Implementations are thread-safe.
+ */
 public interface EngineOrders {
-  /** Asks an engine how it is. */
+  /** Fetches the state of an engine; an engine that does not answer is returned as unreachable. */
   EngineState state(String name, String address);
 
   /**
-   * Orders a load. Idempotent: an engine that has or loads the version already does nothing.
+   * Orders an engine to load a weight version. Idempotent: an engine that already has the version,
+   * or is loading it, does nothing.
    *
-   * @param epoch fencing token; an engine that checks fences refuses a lower one than it has seen
-   * @return true if the order was taken
+   * @param epoch fencing token; an engine that checks fencing tokens rejects a token lower than one
+   *     that it has seen
+   * @return true if the engine accepted the order; false if it rejected it or did not answer
    */
   boolean load(String address, String version, String source, long epoch);
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/EngineView.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/EngineView.java
@@ -19,32 +19,44 @@
 import org.landingtrack.internal.weights.EngineControl.Report;
 
 /**
- * What the holder of the rollout knows of one engine: its last report and the last order to it.
- * Both are of one start of the engine, the latest that is known; another counts its orders anew.
+ * The state of one engine as the lease holder knows it: the last report and the last order. Both
+ * belong to the engine's latest known incarnation, since each incarnation counts its orders from
+ * zero.
  *
- * <p>Not thread-safe: the rollout guards it. Times are milliseconds of the rollout's clock.
+ * <p>Not thread-safe; {@link VersionRollout} guards it with its lock. Times are milliseconds of the
+ * rollout's monotonic clock.
  */
 final class EngineView {
-  /** Reports are up to this old, by some hundred milliseconds more than engines say. */
+  /**
+   * Largest age of the state in a report. Some hundred milliseconds more than the age that engines
+   * state.
+   */
   static final long REPORT_LAG_MS = 600;
 
   /**
-   * An order whose effect no report shows holds a place among the loads for this long at most: the
-   * age of reports, the longest call and one look.
+   * How long an order counts as a running load while no report shows its effect: the largest age of
+   * a report, the longest call and one step of the rollout.
    */
   static final long UNSEEN_PLACE_MS = 1_100;
 
   /**
-   * An engine that took its order but still ends requests holds a place for this long: it loads
-   * nothing yet. A load takes 0.8 s with nothing running; an engine at a sixth of its speed ended
-   * its requests in up to 8 s, and three such held up the ten others for as long.
+   * How long an engine that accepted its order but still drains requests counts as loading. It
+   * loads nothing yet. A load takes 0.8 s on an idle engine; an engine at a sixth of its usual
+   * speed drained its requests for up to 8 s, and three such engines delayed ten others for as
+   * long.
    */
   static final long DRAIN_PLACE_MS = 2_000;
 
-  /** Engines report within some ten milliseconds; so long an engine's turn is kept for it. */
+  /**
+   * How long the next engine in the order of the rollout is waited for while its report is pending.
+   * Engines usually answer within some ten milliseconds.
+   */
   static final long PATIENCE_MS = 100;
 
-  /** A silent engine takes a caller for 400 ms; it is asked this often. */
+  /**
+   * Minimum interval between polls of an unresponsive engine; each of them occupies a thread for
+   * 400 ms.
+   */
   static final long SILENT_PAUSE_MS = 1_000;
 
   private long startedMs;
@@ -60,12 +72,14 @@
   private record Sent(long version, long ordersTaken, long atMs) {}
 
   /**
-   * Notes the start of the engine that somebody told of; 0 if it did not tell. What is known of a
-   * start before it is forgotten: by its count of orders, a new start seemed to have taken none of
-   * those that it was sent.
+   * Records the start time of an incarnation of the engine. If it is newer than the known one, the
+   * report and the last order of the earlier incarnation are discarded: the new incarnation counts
+   * its orders from zero, so that by this count it would seem not to have accepted the last order.
+   *
+   * @param incarnationStartMs start time by the engine's wall clock; 0 if unknown
    */
-  void startSeen(long seenMs) {
-    if (seenMs <= startedMs) {
+  void startSeen(long incarnationStartMs) {
+    if (incarnationStartMs <= startedMs) {
       return;
     }
     if (startedMs > 0) {
@@ -73,15 +87,15 @@
       lastSent = null;
       silent = false;
     }
-    startedMs = seenMs;
+    startedMs = incarnationStartMs;
   }
 
-  /** Returns false for what a start before the latest known one said. */
-  boolean isOfLatestStart(Report told) {
-    return told.startedMs() == 0 || told.startedMs() >= startedMs;
+  /** Returns false if the report comes from an incarnation before the latest known one. */
+  boolean isOfLatestStart(Report other) {
+    return other.startedMs() == 0 || other.startedMs() >= startedMs;
   }
 
-  /** Notes that the engine is asked now; false if it should not be asked yet. */
+  /** Records that a poll of the engine starts now; returns false if it must not be polled yet. */
   boolean beginAsk(long nowMs) {
     if (asking || (silent && nowMs - askedMs < SILENT_PAUSE_MS)) {
       return false;
@@ -91,7 +105,7 @@
     return true;
   }
 
-  /** Notes the answer; null if none came. */
+  /** Records the end of a poll and its report; null if the engine did not answer. */
   void endAsk(@Nullable Report answer) {
     asking = false;
     silent = answer == null;
@@ -109,12 +123,12 @@
     }
   }
 
-  /** Returns whether the report is about to come, so that no other engine should go first. */
+  /** Returns true if a report is likely to arrive soon, so that later engines must wait for it. */
   boolean isAwaited(long nowMs) {
     return asking && !silent && nowMs - askedMs < PATIENCE_MS;
   }
 
-  /** Returns whether the engine loads the weights, or may do so for all that is known. */
+  /** Returns true if the engine loads the weights or, by what is known, may be loading them. */
   boolean holdsPlace(long version, long nowMs) {
     if (ordering) {
       return true;
@@ -128,7 +142,7 @@
     return report.running() == 0 || nowMs - busySinceMs < DRAIN_PLACE_MS;
   }
 
-  /** Returns the report on which an order may be given now; null if none may be given. */
+  /** Returns the report to base an order on; null if no order may be sent now. */
   @Nullable Report readyFor(String model, long version) {
     if (asking || ordering || report == null || report.busy() || !shows(version)) {
       return null;
@@ -136,7 +150,10 @@
     return report.weightVersions().getOrDefault(model, 0L) < version ? report : null;
   }
 
-  /** Reports are some time old: an order that was given just now may not show in them. */
+  /**
+   * Returns true if the report reflects the last order for these weights. The state in a report may
+   * be {@link #REPORT_LAG_MS} old, so that a recent order may be missing from it.
+   */
   private boolean shows(long version) {
     if (lastSent == null || lastSent.version != version) {
       return true;
@@ -146,20 +163,22 @@
             || reportAskedMs - lastSent.atMs >= REPORT_LAG_MS);
   }
 
-  /** Returns when these weights were last ordered; the smallest number if never. */
+  /** Returns when these weights were last ordered; {@link Long#MIN_VALUE} if never. */
   long lastOrderMs(long version) {
     return lastSent != null && lastSent.version == version ? lastSent.atMs : Long.MIN_VALUE;
   }
 
+  /** Records that an order is queued; until {@link #endOrder} no other order is sent. */
   void beginOrder() {
     ordering = true;
   }
 
-  /** Notes that an order is sent now. */
+  /** Records the order that is sent now. */
   void noteSent(long version, long ordersTaken, long nowMs) {
     lastSent = new Sent(version, ordersTaken, nowMs);
   }
 
+  /** Records that the queued order was sent or dropped. */
   void endOrder() {
     ordering = false;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/HttpEngineOrders.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/HttpEngineOrders.java
@@ -27,9 +27,9 @@
 import org.landingtrack.internal.base.Json;
 import org.landingtrack.internal.weights.RollPlan.EngineState;
 
-/** {@link EngineOrders} over HTTP. */
+/** {@link EngineOrders} over HTTP. Makes no retries. Thread-safe. */
 public final class HttpEngineOrders implements EngineOrders {
-  /** Longest time that an order may be under way. */
+  /** Timeout of a call in milliseconds, and so the longest time that an order is in flight. */
   public static final long ORDER_MS = 1_000;
 
   private static final MediaType JSON_TYPE = MediaType.get("application/json");
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/RollPlan.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/RollPlan.java
@@ -20,63 +20,68 @@
 import java.util.List;
 
 /**
- * Which engines load a new weight version next. Does no I/O.
+ * Selects the engines of a service that load a new weight version next. Does no I/O.
  *
- * <p>Loads are rationed: at most {@link #MAX_LOADS} at once, since more make each other slower,
- * never more than a quarter of a service's engines, and never so many that the rest could not carry
- * the requests that run now. A swap that could not go on for a while goes on with one engine at a
- * time all the same: old weights must not stay for ever because of load or of a dead engine.
+ * <p>The number of concurrent loads is limited: to {@link #MAX_LOADS}, since more slow each other
+ * down; to a quarter of the service's engines; and such that the remaining engines can serve the
+ * requests in flight. A rollout that has stalled continues with one engine at a time even if
+ * requests or unreachable engines use up these limits, so that neither high load nor a dead engine
+ * keeps old weights in use forever.
  */
 public final class RollPlan {
-  /** Loads that run at once without slowing each other down. */
+  /** Maximum number of concurrent loads; so many do not slow each other down. */
   public static final int MAX_LOADS = 3;
 
+  /** A service may have one concurrent load for each group of this many engines. */
   private static final int LARGEST_SHARE = 4;
 
-  /** Share of its places that an engine is loaded with while others are away. */
+  /** Utilization up to which the remaining engines are planned while others load. */
   private static final double FULLEST = 0.8;
 
   private RollPlan() {}
 
   /**
-   * An engine as it says it is.
+   * The state of an engine.
    *
-   * @param reachable false if it does not answer; it then counts as loading, since nobody knows
+   * @param reachable false if the engine does not answer; it then counts as loading, since its
+   *     state is unknown
+   * @param version the loaded weight version
+   * @param running number of requests in flight
    */
   public record EngineState(
       String name, boolean reachable, String version, boolean loading, int running) {}
 
   /**
-   * What a service's engines have to do.
+   * What the plan depends on besides the engines' state.
    *
-   * @param places requests that one engine runs at once
-   * @param overdue true if the swap could not go on for a while
+   * @param places maximum number of concurrent requests of one engine
+   * @param overdue true if the rollout has stalled
    */
   public record Demand(int places, boolean overdue) {}
 
   /**
-   * Returns the engines to give the order to now, the least busy first.
+   * Returns the names of the engines to order to load the target version now, the least busy first.
    *
-   * @param loadsElsewhere loads of other services that are under way
+   * @param loadsElsewhere number of running loads of other services
    */
   public static List<String> next(
       List<EngineState> engines, String target, int loadsElsewhere, Demand demand) {
-    int atOnce = Math.max(1, Math.min(MAX_LOADS, engines.size() / LARGEST_SHARE));
+    int maxLoads = Math.max(1, Math.min(MAX_LOADS, engines.size() / LARGEST_SHARE));
     int loading = 0;
-    int silent = 0;
+    int unreachable = 0;
     List<EngineState> waiting = new ArrayList<>();
     for (EngineState engine : engines) {
       if (!engine.reachable()) {
-        silent++;
+        unreachable++;
       } else if (engine.loading()) {
         loading++;
       } else if (!engine.version().equals(target)) {
         waiting.add(engine);
       }
     }
-    int away = loading + silent;
-    int free = Math.min(atOnce - away, MAX_LOADS - away - loadsElsewhere);
-    free = Math.min(free, spare(engines, away, demand.places()));
+    int unavailable = loading + unreachable;
+    int free = Math.min(maxLoads - unavailable, MAX_LOADS - unavailable - loadsElsewhere);
+    free = Math.min(free, spare(engines, unavailable, demand.places()));
     if (demand.overdue() && loading == 0 && loadsElsewhere < MAX_LOADS) {
       free = Math.max(1, free);
     }
@@ -92,15 +97,16 @@
   }
 
   /**
-   * Engines that the requests which run now can do without; less than half an engine's worth of
-   * requests can wait, so that a lone engine with little to do loads at once.
+   * Returns the number of engines that are not needed for the requests in flight. Rounds the number
+   * of needed engines, so that less than half an engine's load is ignored and the only engine of a
+   * service loads at once if it has little to do.
    */
-  private static int spare(List<EngineState> engines, int away, int places) {
+  private static int spare(List<EngineState> engines, int unavailable, int maxConcurrent) {
     int running = 0;
     for (EngineState engine : engines) {
       running += engine.running();
     }
-    int needed = (int) Math.round(running / (FULLEST * Math.max(1, places)));
-    return engines.size() - away - needed;
+    int needed = (int) Math.round(running / (FULLEST * Math.max(1, maxConcurrent)));
+    return engines.size() - unavailable - needed;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/VersionRollout.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/VersionRollout.java
@@ -42,40 +42,52 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings engines to the newest named weights, under a lease that is sought only while engines lag.
+ * Brings engines to the newest published weights. Holds a lease meanwhile, which it acquires only
+ * while engines lag, that is, have older weights.
  *
- * <p>Engines that do not check fences must never hear from two holders at about the same time: the
- * first order of a holding waits until every order of the holder before is over, unless that was
- * this process itself or there was none. That wait runs from the end of the holding before as far
- * as this process saw it: after a rest it is over, so that a last holder which stands still costs
- * the next rollout no 3.4 s.
+ * <p>Engines that do not check fencing tokens must not receive orders from two lease holders at
+ * about the same time. The first order of a lease term therefore waits until all orders of the
+ * previous holder must have ended, unless that was this process or there was none. The delay counts
+ * from the end of the previous term as far as this process observed it. After an idle period it is
+ * already over, so that a previous holder which is suspended does not delay the next rollout by the
+ * 3.4 s.
  *
- * <p>In a large fleet a few VMs seek the lease, and the others only when nothing goes on for a
- * while: each that seeks it calls the store twice a second for as long as engines lag.
+ * <p>In a large fleet only a few candidate VMs compete for the lease; the others do so only after
+ * the rollout has made no progress for a while. Each VM that competes calls the store twice a
+ * second for as long as engines lag.
  *
- * <p>No look waits for an engine: reports are used as they come. A look that waited took up to 0.95
- * s, longer than the lease is held without a renewal, so that it was lost up to four times in a
- * rollout.
+ * <p>{@link #step} never waits for an engine; reports are processed as they arrive. A step that
+ * waited took up to 0.95 s, longer than the lease is held without a renewal, and the lease was lost
+ * up to four times in a rollout.
  *
- * <p>{@link #step} is called by one thread; reports and orders run on callers of their own.
+ * <p>{@link #step} is called by one thread; reports and orders run in thread pools.
  */
 public final class VersionRollout implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("weights");
   private static final long STEP_MS = 150;
   private static final int STEPS_PER_RENEWAL = 3;
 
-  /** Callers for reports, and as many for orders: silent engines hold up no order. */
+  /**
+   * Threads for reports, and as many for orders, so that unresponsive engines do not delay orders.
+   */
   private static final int CALLERS = 8;
 
-  /** The last holder goes first; others wait so many steps before they seek the lease. */
+  /**
+   * Steps that a candidate which has not held the lease before waits before it competes for it, so
+   * that an earlier holder is first.
+   */
   private static final int STEPS_FOR_LAST_HOLDER = 3;
 
   /**
-   * VMs that are not to roll out do so when no engine has got its weights for so many steps: 6 s.
+   * Steps (6 s) without progress of the rollout after which VMs that are no candidates compete for
+   * the lease.
    */
   private static final int STEPS_FOR_OTHERS = 40;
 
-  /** When nothing has lagged for so many steps, the last holder gave the lease back 0.3 s ago. */
+  /**
+   * Steps without lagging engines after which the lease record is read. The last holder released
+   * the lease 0.3 s before.
+   */
   private static final int STEPS_BEFORE_LOOK = 5;
 
   private final String self;
@@ -96,28 +108,35 @@
   private long stillSteps;
   private long lastEpoch = -1;
 
-  /** Until then orders of another holder may be too near. */
+  /** Until then no order is sent, since orders of the previous holder may be in flight. */
   private long quietUntilMs = Long.MIN_VALUE;
 
-  /** Guards the fields below and the views in them. */
+  /** Guards the fields below and the contents of {@link #views}. */
   private final Object lock = new Object();
 
   private final Map<String, EngineView> views = new HashMap<>();
   private List<Task> tasks = List.of();
 
-  /** The last holding that has settled: only under it orders are given. */
+  /**
+   * Epoch of the last lease term whose delay after the previous holder is over. Orders are sent
+   * only under this epoch.
+   */
   private long settledEpoch = -1;
 
-  /** An engine that has older weights than named. */
+  /** An engine with weights older than the newest published ones, and the version to load. */
   public record Task(Engine engine, String model, long version) {}
 
   /**
    * Creates a rollout.
    *
-   * @param lagging engines with older weights than named, in the order in which to load
-   * @param settleMs how long after a foreign holding's last possible order the first own one waits
-   * @param loadsAtOnce loads of a model that run at once without slowing each other down
-   * @param isCandidate whether this VM is one of those that roll out
+   * @param self name of this process as lease holder
+   * @param lagging engines with weights older than the newest published ones, in the order in which
+   *     they are to load
+   * @param handoverDelayMs delay between the latest end of another holder's lease term and the
+   *     first order of this process
+   * @param maxConcurrentLoads number of loads of a model that can run at the same time without
+   *     slowing each other down
+   * @param isCandidate whether this VM competes for the lease as soon as engines lag
    */
   public VersionRollout(
       String self,
@@ -125,8 +144,8 @@
       Lease lease,
       EngineControl control,
       Ticker ticker,
-      long settleMs,
-      ToIntFunction<String> loadsAtOnce,
+      long handoverDelayMs,
+      ToIntFunction<String> maxConcurrentLoads,
       BooleanSupplier isCandidate) {
     this(
         self,
@@ -134,53 +153,56 @@
         lease,
         control,
         ticker,
-        settleMs,
-        loadsAtOnce,
+        handoverDelayMs,
+        maxConcurrentLoads,
         isCandidate,
         Executors.newFixedThreadPool(CALLERS, Duty.daemon("weights-reports")),
         Executors.newFixedThreadPool(CALLERS, Duty.daemon("weights-orders")));
   }
 
-  /** Creates a rollout whose calls to engines run where a test says; it closes the callers. */
+  /** Creates a rollout with the executors of a test; {@link #close} shuts them down. */
   VersionRollout(
       String self,
       Supplier<List<Task>> lagging,
       Lease lease,
       EngineControl control,
       Ticker ticker,
-      long settleMs,
-      ToIntFunction<String> loadsAtOnce,
+      long handoverDelayMs,
+      ToIntFunction<String> maxConcurrentLoads,
       BooleanSupplier isCandidate,
-      ExecutorService reportCallers,
-      ExecutorService orderCallers) {
+      ExecutorService reportExecutor,
+      ExecutorService orderExecutor) {
     this.isCandidate = isCandidate;
     this.self = self;
     this.lagging = lagging;
     this.lease = lease;
     this.control = control;
     this.ticker = ticker;
-    this.settleMs = settleMs;
-    this.loadsAtOnce = loadsAtOnce;
-    this.reportCallers = reportCallers;
-    this.orderCallers = orderCallers;
+    this.settleMs = handoverDelayMs;
+    this.loadsAtOnce = maxConcurrentLoads;
+    this.reportCallers = reportExecutor;
+    this.orderCallers = orderExecutor;
   }
 
-  /** Starts looking for engines that lag. */
+  /** Starts to check periodically for lagging engines. */
   public void start() {
     duty.every(STEP_MS, this::step);
   }
 
-  /** Looks once; waits for the store, never for an engine. */
+  /**
+   * Runs one step: acquires, renews or releases the lease and polls the lagging engines. May block
+   * on the store, never on an engine.
+   */
   void step() {
-    List<Task> now = lagging.get();
-    follow(now);
-    if (now.isEmpty()) {
+    List<Task> current = lagging.get();
+    follow(current);
+    if (current.isEmpty()) {
       rest();
       return;
     }
     idleSteps = 0;
     laggingSteps++;
-    if (!maySeek(now.size())) {
+    if (!maySeek(current.size())) {
       return;
     }
     if (steps++ % STEPS_PER_RENEWAL == 0) {
@@ -197,12 +219,15 @@
     askAll(epoch.getAsLong());
   }
 
-  /** The last holder seeks the lease at once, candidates soon, others when nothing goes on. */
-  private boolean maySeek(int laggingNow) {
-    stillSteps = laggingNow == laggingBefore ? stillSteps + 1 : 0;
-    laggingBefore = laggingNow;
-    boolean wasLast = lastEpoch >= 0;
-    if (wasLast) {
+  /**
+   * Returns whether this process may compete for the lease: at once if it has held it before, after
+   * {@link #STEPS_FOR_LAST_HOLDER} steps as a candidate, otherwise only if the rollout stalls.
+   */
+  private boolean maySeek(int laggingCount) {
+    stillSteps = laggingCount == laggingBefore ? stillSteps + 1 : 0;
+    laggingBefore = laggingCount;
+    boolean wasHolder = lastEpoch >= 0;
+    if (wasHolder) {
       return true;
     }
     return isCandidate.getAsBoolean()
@@ -210,7 +235,7 @@
         : stillSteps > STEPS_FOR_OTHERS;
   }
 
-  /** Gives the lease back when nothing lags for a while. */
+  /** Releases the lease after some steps without lagging engines, and later reads its record. */
   private void rest() {
     laggingSteps = 0;
     laggingBefore = 0;
@@ -226,13 +251,14 @@
     }
   }
 
+  /** Records the epoch of the lease and, for a new term, sets the time of the first order. */
   private void noteHolding(long epoch) {
     if (epoch == lastEpoch) {
       return;
     }
     boolean first = epoch == 1;
-    boolean ownBefore = lastEpoch >= 0 && epoch == lastEpoch + 1;
-    if (!first && !ownBefore) {
+    boolean previousWasOwn = lastEpoch >= 0 && epoch == lastEpoch + 1;
+    if (!first && !previousWasOwn) {
       quietUntilMs = lease.beforeUntilMs() + settleMs;
     }
     lastEpoch = epoch;
@@ -241,30 +267,33 @@
     log.atInfo().addKeyValue("epoch", epoch).addKeyValue("waitsMs", waitsMs).log("lease won");
   }
 
-  /** Takes what is to be done now. */
-  private void follow(List<Task> now) {
+  /** Replaces the tasks and drops the state of engines that lag no more. */
+  private void follow(List<Task> current) {
     synchronized (lock) {
-      tasks = now;
+      tasks = current;
       views
           .keySet()
-          .retainAll(now.stream().map(task -> task.engine().id()).collect(Collectors.toSet()));
+          .retainAll(current.stream().map(task -> task.engine().id()).collect(Collectors.toSet()));
     }
   }
 
-  /** Asks all engines that lag, under a holding that has settled. */
+  /**
+   * Polls all lagging engines. The caller holds the lease with this epoch and has waited for the
+   * previous holder's orders to end.
+   */
   private void askAll(long epoch) {
-    Map<Task, EngineView> asked = new LinkedHashMap<>();
+    Map<Task, EngineView> polls = new LinkedHashMap<>();
     synchronized (lock) {
       settledEpoch = epoch;
       for (Task task : tasks) {
         EngineView view = view(task);
         if (view.beginAsk(ticker.millis())) {
-          asked.put(task, view);
+          polls.put(task, view);
         }
       }
       orderNext();
     }
-    asked.forEach((task, view) -> run(reportCallers, () -> ask(task, view)));
+    polls.forEach((task, view) -> run(reportCallers, () -> ask(task, view)));
   }
 
   private EngineView view(Task task) {
@@ -281,6 +310,7 @@
     }
   }
 
+  /** Fetches a report; returns null if the engine did not answer. */
   private @Nullable Report reportOf(Engine engine) {
     try {
       return control.report(engine);
@@ -292,7 +322,10 @@
     return null;
   }
 
-  /** Gives orders as far as places are free, in turn. Call it under the lock. */
+  /**
+   * Submits orders until the limit of concurrent loads is reached, in the order of {@link #inTurn}.
+   * The caller must hold {@link #lock}.
+   */
   private void orderNext() {
     if (!mayOrder(settledEpoch)) {
       return;
@@ -315,13 +348,17 @@
     }
   }
 
-  /** An engine whose order had no effect yet goes behind the others, the longest ago first. */
+  /**
+   * Returns the tasks without a previous order first, then those whose order has had no effect, the
+   * oldest order first.
+   */
   private List<Task> inTurn() {
-    List<Task> turns = new ArrayList<>(tasks);
-    turns.sort(Comparator.comparingLong(task -> view(task).lastOrderMs(task.version())));
-    return turns;
+    List<Task> sorted = new ArrayList<>(tasks);
+    sorted.sort(Comparator.comparingLong(task -> view(task).lastOrderMs(task.version())));
+    return sorted;
   }
 
+  /** Returns true while this process holds the lease with the given epoch. */
   private boolean mayOrder(long epoch) {
     OptionalLong token = lease.token();
     return token.isPresent() && token.getAsLong() == epoch;
@@ -346,8 +383,8 @@
   }
 
   private void send(Task task, Report report, EngineView view, long epoch) {
-    // Asked again right before the order: that holding may have ended meanwhile, and a newer one
-    // of this process may have to settle first.
+    // Check again right before sending: the lease term may have ended while the order was queued,
+    // and a newer term of this process may have to wait for another holder's orders first.
     if (!mayOrder(epoch)) {
       return;
     }
@@ -370,14 +407,15 @@
         .log("load ordered");
   }
 
-  private static void run(ExecutorService callers, Runnable call) {
+  private static void run(ExecutorService executor, Runnable call) {
     try {
-      callers.execute(call);
+      executor.execute(call);
     } catch (RejectedExecutionException e) {
-      // The rollout was closed: nothing is asked or ordered any more.
+      // The rollout is closed: no further reports or orders.
     }
   }
 
+  /** Stops the rollout and releases the lease. */
   @Override
   public void close() {
     duty.close();
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/WeightRoller.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/WeightRoller.java
@@ -36,23 +36,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings the engines of a data centre to the weight versions that their services name.
+ * Brings the engines of a data centre to the weight versions that are configured for their
+ * services.
  *
- * <p>Only the holder of the data centre's lease gives orders, each with the lease's epoch. Engines
- * that do not check fences get their first order of a holding only after the time in which an order
- * of the last holder could still be under way. Thread-safe.
+ * <p>Only the holder of the data centre's lease sends orders, each with the lease's epoch as
+ * fencing token. Engines that do not check fencing tokens get the first order of a lease term only
+ * after the time in which an order of the previous holder could still be in flight. {@link #step}
+ * runs on one thread of its own; the other public methods may be called from any thread.
  */
 public final class WeightRoller implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("weights");
   private static final long STEP_MS = 500;
 
-  /** The lease lasts for many more steps than these; each renewal costs the platform two calls. */
+  /** Steps per lease renewal. The lease lasts for many more; each renewal makes two store calls. */
   private static final int STEPS_PER_RENEWAL = 3;
 
-  /** A swap that could not go on for so long goes on with one engine at a time. */
+  /** A rollout without progress for so long counts as stalled and goes on one engine at a time. */
   private static final long OVERDUE_MS = 10_000;
 
-  /** A service that is as it should be is looked at only this often. */
+  /** Interval between checks of a service whose engines all have the configured version. */
   private static final long SETTLED_EVERY_MS = 10_000;
 
   private final String dataCentre;
@@ -75,30 +77,30 @@
   /**
    * Creates a roller.
    *
-   * @param eligible whether this controller tries for the lease; a few in a data centre do, so that
-   *     the calls to the platform do not grow with the fleet
+   * @param isCandidate whether this controller competes for the lease; only a few in a data centre
+   *     do, so that the number of calls to the platform does not grow with the fleet
    */
   public WeightRoller(
       String dataCentre,
-      BooleanSupplier eligible,
+      BooleanSupplier isCandidate,
       Supplier<Catalog> catalog,
       Lease lease,
       EngineOrders orders,
       Ticker ticker) {
     this.dataCentre = dataCentre;
-    this.eligible = eligible;
+    this.eligible = isCandidate;
     this.catalog = catalog;
     this.lease = lease;
     this.orders = orders;
     this.ticker = ticker;
   }
 
-  /** Starts rolling. */
+  /** Starts to check periodically for engines with another version. */
   public void start() {
     duty.every(STEP_MS, this::step);
   }
 
-  /** Renews the lease and, while it is held, gives the next orders. */
+  /** Runs one step: renews the lease and, while it is held, sends the next load orders. */
   void step() {
     if (!eligible.getAsBoolean()) {
       lease.release();
@@ -127,7 +129,7 @@
     }
   }
 
-  /** Returns how many loads of the service are under way. */
+  /** Orders the next loads of a service and returns the number of its running loads. */
   private int roll(String name, Service service, int loadsElsewhere) {
     String target = service.weightVersion();
     List<NamedBackendServer> engines = enginesHere(name);
@@ -137,20 +139,20 @@
     List<EngineState> states = new ArrayList<>();
     Map<String, NamedBackendServer> byName = new HashMap<>();
     int loading = 0;
-    boolean allThere = true;
+    boolean upToDate = true;
     for (NamedBackendServer engine : engines) {
       EngineState state = orders.state(engine.name(), engine.spec().address());
       states.add(state);
       byName.put(engine.name(), engine);
       loading += state.loading() ? 1 : 0;
-      allThere &= state.reachable() && state.version().equals(target) && !state.loading();
+      upToDate &= state.reachable() && state.version().equals(target) && !state.loading();
     }
-    if (allThere) {
+    if (upToDate) {
       settled.put(name, new Settled(target, engines.size(), ticker.millis()));
       return 0;
     }
-    boolean overdue = isOverdue(name, target);
-    RollPlan.Demand demand = new RollPlan.Demand(engines.get(0).spec().maxConcurrent(), overdue);
+    boolean stalled = isOverdue(name, target);
+    RollPlan.Demand demand = new RollPlan.Demand(engines.get(0).spec().maxConcurrent(), stalled);
     for (String next : RollPlan.next(states, target, loadsElsewhere, demand)) {
       NamedBackendServer engine = byName.get(next);
       if (engine != null && order(engine, target)) {
@@ -163,24 +165,24 @@
     return loading;
   }
 
-  /** Returns true if the swap to a version has not gone on for a while. */
+  /** Returns true if the rollout of a version has made no progress for {@link #OVERDUE_MS}. */
   private boolean isOverdue(String name, String target) {
-    Progress last = progressed.get(name);
-    if (last == null || !last.version.equals(target)) {
+    Progress known = progressed.get(name);
+    if (known == null || !known.version.equals(target)) {
       progressed.put(name, new Progress(target, ticker.millis()));
       return false;
     }
-    return ticker.millis() - last.atMs >= OVERDUE_MS;
+    return ticker.millis() - known.atMs >= OVERDUE_MS;
   }
 
   private List<NamedBackendServer> enginesHere(String service) {
-    List<NamedBackendServer> here = new ArrayList<>();
+    List<NamedBackendServer> local = new ArrayList<>();
     for (NamedBackendServer server : catalog.get().servers(service)) {
       if (server.spec().dataCentre().equals(dataCentre)) {
-        here.add(server);
+        local.add(server);
       }
     }
-    return here;
+    return local;
   }
 
   private boolean isSettled(String name, String target, int engines) {
@@ -192,11 +194,11 @@
   }
 
   private boolean order(NamedBackendServer engine, String target) {
-    long settleMs = lease.settleMs(HttpEngineOrders.ORDER_MS);
-    if (!engine.spec().checksFences() && ticker.millis() - heldSinceMs < settleMs) {
+    long handoverDelayMs = lease.settleMs(HttpEngineOrders.ORDER_MS);
+    if (!engine.spec().checksFences() && ticker.millis() - heldSinceMs < handoverDelayMs) {
       return false;
     }
-    // Asked again right before the order: the holding may have ended meanwhile.
+    // Check again right before the order: the lease may have been lost meanwhile.
     OptionalLong epoch = lease.token();
     if (epoch.isEmpty()) {
       return false;
@@ -207,13 +209,14 @@
             .find(Kind.WEIGHT_VERSION, target, WeightVersion.class)
             .map(WeightVersion::source)
             .orElse("");
-    boolean taken = orders.load(engine.spec().address(), target, source, epoch.getAsLong());
-    if (taken) {
+    boolean accepted = orders.load(engine.spec().address(), target, source, epoch.getAsLong());
+    if (accepted) {
       log.info("Engine {} loads weight version {}.", engine.name(), target);
     }
-    return taken;
+    return accepted;
   }
 
+  /** Stops the rollout and releases the lease. */
   @Override
   public void close() {
     duty.close();
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/package-info.java
@@ -1,3 +1,3 @@
-/** Rolling out weight versions over model engines, under a lease. */
+/** Rollout of weight versions to model engines by the holder of a lease. */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.weights;
