--- a/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimCommitter.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimCommitter.java
@@ -83,19 +83,19 @@
    * Requests a claim. The future never fails; its outcome is UNAVAILABLE if too many claims wait or
    * the commit is not confirmed.
    */
-  public CompletableFuture<Verdict> claim(Wish wish) {
-    CompletableFuture<Verdict> verdict = new CompletableFuture<>();
+  public CompletableFuture<Verdict> claim(Wish request) {
+    CompletableFuture<Verdict> result = new CompletableFuture<>();
     synchronized (waiting) {
       if (waiting.size() >= MAX_WAITING) {
-        verdict.complete(UNAVAILABLE);
-        return verdict;
+        result.complete(UNAVAILABLE);
+        return result;
       }
-      waiting.add(new Waiting(wish, verdict));
+      waiting.add(new Waiting(request, result));
       if (!scheduled) {
         scheduled = duty.offer(this::commitWaiting);
       }
     }
-    return verdict;
+    return result;
   }
 
   /**
@@ -125,10 +125,10 @@
       waiting.clear();
       scheduled = false;
     }
-    List<Verdict> verdicts = commit(batch.stream().map(Waiting::wish).toList(), released);
+    List<Verdict> results = commit(batch.stream().map(Waiting::wish).toList(), released);
     for (int i = 0; i < batch.size(); i++) {
       Waiting claim = batch.get(i);
-      claim.verdict.complete(verdicts.get(i));
+      claim.verdict.complete(results.get(i));
     }
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimShard.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimShard.java
@@ -94,22 +94,22 @@
             next.put(key, claim);
           }
         });
-    List<Verdict> verdicts = new ArrayList<>(requests.size());
+    List<Verdict> results = new ArrayList<>(requests.size());
     boolean changed = false;
     for (Wish request : requests) {
       Claim known = next.get(request.keyHash());
       if (known != null) {
         Outcome outcome = known.by().equals(request.by()) ? Outcome.CLAIMED : Outcome.TAKEN;
-        verdicts.add(new Verdict(outcome, known.by()));
+        results.add(new Verdict(outcome, known.by()));
       } else if (next.size() >= MAX_CLAIMS) {
-        verdicts.add(new Verdict(Outcome.FULL, ""));
+        results.add(new Verdict(Outcome.FULL, ""));
       } else {
         next.put(request.keyHash(), new Claim(request.by(), nowMs));
-        verdicts.add(new Verdict(Outcome.CLAIMED, request.by()));
+        results.add(new Verdict(Outcome.CLAIMED, request.by()));
         changed = true;
       }
     }
-    return new Commit(new ClaimShard(next), verdicts, changed);
+    return new Commit(new ClaimShard(next), results, changed);
   }
 
   /** Returns this shard without the claims of requests that are known never to run. */
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/RollPlan.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/RollPlan.java
@@ -65,7 +65,7 @@
    * @param loadsElsewhere number of running loads of other services
    */
   public static List<String> next(
-      List<EngineState> engines, String target, int loadsElsewhere, Demand demand) {
+      List<EngineState> engines, String target, int loadsElsewhere, Demand conditions) {
     int maxLoads = Math.max(1, Math.min(MAX_LOADS, engines.size() / LARGEST_SHARE));
     int loading = 0;
     int unreachable = 0;
@@ -81,8 +81,8 @@
     }
     int unavailable = loading + unreachable;
     int free = Math.min(maxLoads - unavailable, MAX_LOADS - unavailable - loadsElsewhere);
-    free = Math.min(free, spare(engines, unavailable, demand.places()));
-    if (demand.overdue() && loading == 0 && loadsElsewhere < MAX_LOADS) {
+    free = Math.min(free, spare(engines, unavailable, conditions.places()));
+    if (conditions.overdue() && loading == 0 && loadsElsewhere < MAX_LOADS) {
       free = Math.max(1, free);
     }
     waiting.sort(Comparator.comparingInt(EngineState::running).thenComparing(EngineState::name));
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/WeightRoller.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/WeightRoller.java
@@ -152,8 +152,9 @@
       return 0;
     }
     boolean stalled = isOverdue(name, target);
-    RollPlan.Demand demand = new RollPlan.Demand(engines.get(0).spec().maxConcurrent(), stalled);
-    for (String next : RollPlan.next(states, target, loadsElsewhere, demand)) {
+    RollPlan.Demand conditions =
+        new RollPlan.Demand(engines.get(0).spec().maxConcurrent(), stalled);
+    for (String next : RollPlan.next(states, target, loadsElsewhere, conditions)) {
       NamedBackendServer engine = byName.get(next);
       if (engine != null && order(engine, target)) {
         loading++;
--- a/landingtrack/src/test/java/org/landingtrack/internal/claim/ClaimCommitterTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/claim/ClaimCommitterTest.java
@@ -40,8 +40,8 @@
     return new ClaimCommitter(api, "shard-1", wall::get);
   }
 
-  private static Outcome one(ClaimCommitter committer, String key, String by) {
-    return committer.commit(List.of(new Wish(key, by)), Set.of()).get(0).outcome();
+  private static Outcome one(ClaimCommitter committer, String key, String requestId) {
+    return committer.commit(List.of(new Wish(key, requestId)), Set.of()).get(0).outcome();
   }
 
   @DataProvider
@@ -66,7 +66,7 @@
     assertEquals(second, expected == Outcome.CLAIMED ? Outcome.TAKEN : Outcome.CLAIMED);
   }
 
-  /** Two controllers both think that they own the shard; one was paused with old content. */
+  /** Two controllers consider themselves the owner; one was paused and has old content. */
   @Test
   public void aPausedCommitterLosesToTheNewOne() {
     FakeObjectApi api = new FakeObjectApi();
@@ -96,11 +96,11 @@
   }
 
   /**
-   * A caller's request that must not be repeated ran twice. The owner of its key could not confirm
-   * the claim and said so, but stood still before its answer was out; after four seconds the
-   * gateway asked the successor, which confirmed the claim, and the request ran. The owner took the
-   * request as refused and gave the claim back with its next commit; the caller's second request
-   * got the key and ran as well. Only the gateway knows that a request never runs, and says so.
+   * Guards against a request that runs twice though it must not be repeated. The owner of its key
+   * cannot confirm the claim but pauses before its answer is sent. After four seconds the gateway
+   * asks the successor, which confirms the claim, and the request runs. If the owner then releases
+   * the claim with its next commit, the caller's second request gets the key and runs too. Only the
+   * gateway knows that a request never runs, so only it may release a claim.
    */
   @Test
   public void aClaimThatTheSuccessorConfirmedIsNotGivenBackByTheOwner() throws Exception {
@@ -128,12 +128,12 @@
   @Test
   public void aFullShardRefuses() {
     FakeObjectApi api = new FakeObjectApi();
-    List<Wish> wishes = new ArrayList<>();
+    List<Wish> requests = new ArrayList<>();
     for (int i = 0; i <= ClaimShard.MAX_CLAIMS; i++) {
-      wishes.add(new Wish("k" + i, "a" + i));
+      requests.add(new Wish("k" + i, "a" + i));
     }
-    List<Verdict> verdicts = committer(api).commit(wishes, Set.of());
-    assertEquals(verdicts.get(ClaimShard.MAX_CLAIMS).outcome(), Outcome.FULL);
+    List<Verdict> results = committer(api).commit(requests, Set.of());
+    assertEquals(results.get(ClaimShard.MAX_CLAIMS).outcome(), Outcome.FULL);
     assertEquals(api.writes(), 1);
   }
 
@@ -142,24 +142,24 @@
     return new Object[][] {{21L}, {22L}, {23L}, {24L}, {25L}};
   }
 
-  /** Several committers, lost answers and outages: no key is ever confirmed for two requests. */
+  /** No key is confirmed for two requests despite several committers, lost answers and outages. */
   @Test(dataProvider = "seeds")
   public void noKeyIsConfirmedTwice(long seed) {
     Random random = new Random(seed);
     FakeObjectApi api = new FakeObjectApi();
     List<ClaimCommitter> committers = List.of(committer(api), committer(api), committer(api));
-    Map<String, String> winner = new HashMap<>();
+    Map<String, String> confirmedIds = new HashMap<>();
     int confirmed = 0;
     for (int step = 0; step < 1_000; step++) {
       if (random.nextInt(4) == 0) {
         api.failWrites(Fault.values()[random.nextInt(3)]);
       }
       String key = "k" + random.nextInt(300);
-      String by = "r" + step;
+      String requestId = "r" + step;
       ClaimCommitter committer = committers.get(random.nextInt(3));
-      if (one(committer, key, by) == Outcome.CLAIMED) {
+      if (one(committer, key, requestId) == Outcome.CLAIMED) {
         confirmed++;
-        assertEquals(winner.putIfAbsent(key, by), null, key + " was confirmed twice");
+        assertEquals(confirmedIds.putIfAbsent(key, requestId), null, key + " was confirmed twice");
       }
     }
     assertTrue(confirmed > 100, "only " + confirmed + " claims were confirmed");
--- a/landingtrack/src/test/java/org/landingtrack/internal/lease/LeaseTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/lease/LeaseTest.java
@@ -35,39 +35,39 @@
 
   private final FakeObjectApi api = new FakeObjectApi();
 
-  private Lease lease(FakeObjectApi on, FakeTicker ticker, String self) {
-    return new Lease(on, ticker, "duty", self, DURATION_MS);
+  private Lease lease(FakeObjectApi store, FakeTicker ticker, String self) {
+    return new Lease(store, ticker, "duty", self, DURATION_MS);
   }
 
   @Test
   public void theHolderStopsWellBeforeOthersMayTakeOver() {
     FakeTicker ticker = new FakeTicker();
-    FakeObjectApi own = new FakeObjectApi();
-    Lease a = lease(own, ticker, "a");
-    Lease b = lease(own, ticker, "b");
+    FakeObjectApi store = new FakeObjectApi();
+    Lease a = lease(store, ticker, "a");
+    Lease b = lease(store, ticker, "b");
     a.step();
     b.step();
     assertTrue(a.token().isPresent());
-    own.out(true);
+    store.out(true);
     ticker.pass(600);
-    assertTrue(a.token().isEmpty(), "holds longer than its share");
-    own.out(false);
+    assertTrue(a.token().isEmpty(), "held after its share of the duration");
+    store.out(false);
     ticker.pass(400);
     b.step();
-    assertTrue(b.token().isEmpty(), "taken before the margin for drift");
+    assertTrue(b.token().isEmpty(), "taken over before the end of the drift margin");
     ticker.pass(200);
     b.step();
     assertEquals(b.token(), OptionalLong.of(2));
   }
 
-  /** A holder frozen beyond its lease wakes up: it must not believe, nor renew, the old epoch. */
+  /** A holder that was paused beyond its lease must neither use nor renew the old epoch. */
   @Test
   public void aFrozenHolderWakesWithoutItsLease() {
     FakeTicker clockA = new FakeTicker();
     FakeTicker clockB = new FakeTicker();
-    FakeObjectApi own = new FakeObjectApi();
-    Lease a = lease(own, clockA, "a");
-    Lease b = lease(own, clockB, "b");
+    FakeObjectApi store = new FakeObjectApi();
+    Lease a = lease(store, clockA, "a");
+    Lease b = lease(store, clockB, "b");
     a.step();
     b.step();
     clockB.pass(1_200);
@@ -90,22 +90,22 @@
     };
   }
 
-  /** A renewal without an answer does not count, whether or not it took effect. */
+  /** A write without an answer does not count, whether or not it took effect. */
   @Test(dataProvider = "lostWrites")
   public void aWriteWithoutAnAnswerGivesNoHolding(Fault[] faults) {
     FakeTicker ticker = new FakeTicker();
-    FakeObjectApi own = new FakeObjectApi();
-    own.failWrites(faults);
-    Lease a = lease(own, ticker, "a");
+    FakeObjectApi store = new FakeObjectApi();
+    store.failWrites(faults);
+    Lease a = lease(store, ticker, "a");
     for (int i = 0; i < faults.length; i++) {
       a.step();
-      assertFalse(a.token().isPresent(), "held without an answer");
+      assertFalse(a.token().isPresent(), "held after a write without an answer");
     }
     for (int i = 0; i < 20 && a.token().isEmpty(); i++) {
       ticker.pass(200);
       a.step();
     }
-    assertTrue(a.token().isPresent(), "never recovered");
+    assertTrue(a.token().isPresent(), "the lease was not acquired after the faults");
   }
 
   @DataProvider
@@ -113,27 +113,27 @@
     return new Object[][] {{11L}, {12L}, {13L}, {14L}, {15L}, {16L}};
   }
 
-  /** Never two holders at once, and never the same epoch twice, whatever fails. */
+  /** Never two holders at once, and no epoch is used by two holders, whatever fails. */
   @Test(dataProvider = "seeds")
   public void atMostOneHolderWhateverFails(long seed) {
     Random random = new Random(seed);
-    FakeObjectApi own = new FakeObjectApi();
+    FakeObjectApi store = new FakeObjectApi();
     FakeTicker ticker = new FakeTicker();
     List<Lease> leases = new ArrayList<>();
     List<Long> lastEpoch = new ArrayList<>();
     long[] lastHeldMs = new long[4];
     Arrays.fill(lastHeldMs, Long.MIN_VALUE);
     for (int i = 0; i < 4; i++) {
-      leases.add(lease(own, ticker, "vm-" + i));
+      leases.add(lease(store, ticker, "vm-" + i));
       lastEpoch.add(-1L);
     }
-    int held = 0;
+    int heldSteps = 0;
     for (int step = 0; step < 2_000; step++) {
       if (random.nextInt(10) == 0) {
-        own.failWrites(Fault.values()[random.nextInt(3)]);
+        store.failWrites(Fault.values()[random.nextInt(3)]);
       }
       ticker.pass(random.nextInt(150));
-      // Some are not stepped for a long time, as if frozen.
+      // Some processes make no step for a long time, as if paused.
       int index = random.nextInt(random.nextInt(4) + 1);
       if (random.nextInt(8) == 0) {
         leases.get(index).look();
@@ -151,20 +151,20 @@
                 other == i
                     || lastEpoch.get(other) < token.getAsLong()
                     || lastEpoch.get(other) > token.getAsLong(),
-                "an epoch was held twice");
+                "two processes held the same epoch");
             assertTrue(
                 other == i
                     || lastEpoch.get(i) == token.getAsLong()
                     || lastHeldMs[other] <= leases.get(i).beforeUntilMs(),
-                "the one before held longer than its successor takes it to");
+                "the previous holder held the lease longer than the next one assumes");
           }
           lastEpoch.set(i, token.getAsLong());
         }
       }
-      held += holders;
+      heldSteps += holders;
       assertTrue(holders <= 1, "two holders at step " + step);
     }
-    assertTrue(held > 0, "nobody ever held the lease");
+    assertTrue(heldSteps > 0, "no process ever held the lease");
   }
 
   @Test
@@ -181,9 +181,9 @@
   @Test
   public void aNewHolderKnowsUntilWhenTheOneBeforeHeld() {
     FakeTicker ticker = new FakeTicker();
-    FakeObjectApi own = new FakeObjectApi();
-    Lease a = lease(own, ticker, "a");
-    Lease b = lease(own, ticker, "b");
+    FakeObjectApi store = new FakeObjectApi();
+    Lease a = lease(store, ticker, "a");
+    Lease b = lease(store, ticker, "b");
     a.step();
     assertEquals(a.beforeUntilMs(), Long.MIN_VALUE);
     long seenMs = ticker.millis();
@@ -196,27 +196,27 @@
   @Test
   public void whatWasGivenBackAndSeenLongAgoEndedLongAgo() {
     FakeTicker ticker = new FakeTicker();
-    FakeObjectApi own = new FakeObjectApi();
-    Lease a = lease(own, ticker, "a");
-    Lease b = lease(own, ticker, "b");
+    FakeObjectApi store = new FakeObjectApi();
+    Lease a = lease(store, ticker, "a");
+    Lease b = lease(store, ticker, "b");
     a.step();
     a.release();
     long seenMs = ticker.millis();
     b.look();
-    assertTrue(b.token().isEmpty(), "a look does not seek the lease");
+    assertTrue(b.token().isEmpty(), "reading the record acquired the lease");
     ticker.pass(10_000);
     b.step();
     assertEquals(b.token(), OptionalLong.of(2));
     assertEquals(b.beforeUntilMs(), seenMs);
   }
 
-  /** The same VM after a restart must not go on under its old epoch. */
+  /** A process that restarts must not continue under its old epoch. */
   @Test
   public void aRestartedHolderTakesANewEpoch() {
     FakeTicker ticker = new FakeTicker();
-    FakeObjectApi own = new FakeObjectApi();
-    lease(own, ticker, "a").step();
-    Lease restarted = lease(own, ticker, "a");
+    FakeObjectApi store = new FakeObjectApi();
+    lease(store, ticker, "a").step();
+    Lease restarted = lease(store, ticker, "a");
     restarted.step();
     assertTrue(restarted.token().isEmpty());
     ticker.pass(1_200);
--- a/landingtrack/src/test/java/org/landingtrack/internal/lease/RewoundLeaseTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/lease/RewoundLeaseTest.java
@@ -31,8 +31,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Some processes seek one lease in a store that comes back from an older copy again and again, and
- * are started anew. Never do two hold it at once, and no token is lower than one given before.
+ * Processes that restart now and then compete for a lease in a store that is repeatedly rolled back
+ * to an older copy. A rollback loses the current holder: two processes could then hold the lease at
+ * once, or get a token that is lower than an earlier one.
  */
 public final class RewoundLeaseTest {
   private static final int SEEDS = 60;
@@ -43,7 +44,7 @@
 
   private long nowMs;
 
-  /** The store, with the copy that it may come back from. */
+  /** A store of one object that can be rolled back to a copy. */
   private static final class Store implements ObjectApi {
     private @Nullable StoredObject object;
     private @Nullable StoredObject copy;
@@ -62,8 +63,8 @@
       object = copy == null ? null : dated(copy.value(), Revision.number(copy.version()));
     }
 
-    private StoredObject dated(String value, long of) {
-      long revision = Revision.of(generation, of);
+    private StoredObject dated(String value, long revisionNumber) {
+      long revision = Revision.of(generation, revisionNumber);
       return new StoredObject("leases/l", revision, revision, value);
     }
 
@@ -118,7 +119,7 @@
       processes.add(process(store, seed, i));
     }
     long highest = 0;
-    int holdings = 0;
+    int terms = 0;
     for (int step = 0; step < STEPS; step++) {
       nowMs += STEP_MS;
       trouble(store, processes, seed * STEPS + step, random);
@@ -131,22 +132,27 @@
       long held = 0;
       for (Lease lease : processes) {
         if (lease.token().isPresent()) {
-          assertTrue(held == 0, "two hold it at " + nowMs);
+          assertTrue(held == 0, "two processes hold the lease at ms " + nowMs);
           held = lease.token().getAsLong();
         }
       }
-      assertTrue(held == 0 || held >= highest, held + " after " + highest + " at " + nowMs);
-      holdings += held > highest ? 1 : 0;
+      assertTrue(
+          held == 0 || held >= highest,
+          held + " follows the higher token " + highest + " at " + nowMs);
+      terms += held > highest ? 1 : 0;
       highest = Math.max(highest, held);
     }
-    assertTrue(holdings > 10, "it is won again: " + holdings);
+    assertTrue(terms > 10, "the lease was acquired too few times: " + terms);
   }
 
-  private Lease process(Store store, int start, int place) {
-    return new Lease(store, () -> nowMs, "l", "p-" + start + "-" + place, DURATION_MS);
+  private Lease process(Store store, int start, int index) {
+    return new Lease(store, () -> nowMs, "l", "p-" + start + "-" + index, DURATION_MS);
   }
 
-  /** A process that is started anew is another one: the one before has stopped. */
+  /**
+   * Injects a random fault: the store copies its state, is rolled back, or a process that does not
+   * hold the lease is replaced by a new one with another name.
+   */
   private void trouble(Store store, List<Lease> processes, int start, SplittableRandom random) {
     int drawn = random.nextInt(100);
     if (drawn < 4) {
@@ -154,9 +160,9 @@
     } else if (drawn < 6) {
       store.comeBack();
     } else if (drawn == 6) {
-      int stopped = random.nextInt(PROCESSES);
-      if (processes.get(stopped).token().isEmpty()) {
-        processes.set(stopped, process(store, start, stopped));
+      int index = random.nextInt(PROCESSES);
+      if (processes.get(index).token().isEmpty()) {
+        processes.set(index, process(store, start, index));
       }
     }
   }
--- a/landingtrack/src/test/java/org/landingtrack/internal/weights/CallsByHand.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/weights/CallsByHand.java
@@ -21,47 +21,50 @@
 import java.util.concurrent.AbstractExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Callers that run a call at once, or when the test says. For one thread. */
+/**
+ * An executor that runs tasks in the calling thread, either at once or when the test says so. Not
+ * thread-safe.
+ */
 final class CallsByHand extends AbstractExecutorService {
   private final Deque<Runnable> held = new ArrayDeque<>();
   private boolean holding;
   private boolean closed;
 
-  /** Keeps the calls that come from now on until {@link #run}. */
+  /** Queues all further tasks until {@link #run} or {@link #release}. */
   void hold() {
     holding = true;
   }
 
-  /** Runs the oldest calls that were kept. */
+  /** Runs the given number of queued tasks, the oldest first. */
   void run(int count) {
     for (int i = 0; i < count; i++) {
       held.remove().run();
     }
   }
 
-  /** Takes out the oldest call that was kept. */
+  /** Removes the oldest queued task and returns it without running it. */
   Runnable takeFirst() {
     return held.remove();
   }
 
-  /** Returns how many calls are kept. */
+  /** Returns the number of queued tasks. */
   int waiting() {
     return held.size();
   }
 
-  /** Runs all calls that were kept, and those to come at once. */
+  /** Runs all queued tasks; further tasks run at once. */
   void release() {
     holding = false;
     run(held.size());
   }
 
   @Override
-  public void execute(Runnable call) {
+  public void execute(Runnable task) {
     if (holding) {
-      held.add(call);
+      held.add(task);
       return;
     }
-    call.run();
+    task.run();
   }
 
   @Override
--- a/landingtrack/src/test/java/org/landingtrack/internal/weights/RollPlanTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/weights/RollPlanTest.java
@@ -26,7 +26,7 @@
 public final class RollPlanTest {
   private static final RollPlan.Demand QUIET = new RollPlan.Demand(64, false);
 
-  private static List<EngineState> engines(int old, int loading, int done, int silent) {
+  private static List<EngineState> engines(int old, int loading, int done, int unreachable) {
     List<EngineState> engines = new ArrayList<>();
     for (int i = 0; i < old; i++) {
       engines.add(new EngineState("old-" + i, true, "v1", false, old - i));
@@ -37,7 +37,7 @@
     for (int i = 0; i < done; i++) {
       engines.add(new EngineState("done-" + i, true, "v2", false, 0));
     }
-    for (int i = 0; i < silent; i++) {
+    for (int i = 0; i < unreachable; i++) {
       engines.add(new EngineState("silent-" + i, false, "", false, 0));
     }
     return engines;
@@ -46,7 +46,7 @@
   @DataProvider
   public Object[][] plans() {
     return new Object[][] {
-      // old, loading, done, silent, loads elsewhere, expected
+      // engines: old version, loading, new version, unreachable; loads elsewhere; expected loads
       {12, 0, 0, 0, 0, 3},
       {10, 2, 0, 0, 0, 1},
       {9, 3, 0, 0, 0, 0},
@@ -62,8 +62,9 @@
 
   @Test(dataProvider = "plans")
   public void loadsAreRationed(
-      int old, int loading, int done, int silent, int elsewhere, int expected) {
-    List<String> next = RollPlan.next(engines(old, loading, done, silent), "v2", elsewhere, QUIET);
+      int old, int loading, int done, int unreachable, int loadsElsewhere, int expected) {
+    List<String> next =
+        RollPlan.next(engines(old, loading, done, unreachable), "v2", loadsElsewhere, QUIET);
     assertEquals(next.size(), expected);
   }
 
@@ -75,7 +76,7 @@
   @DataProvider
   public Object[][] demands() {
     return new Object[][] {
-      // engines, running on each of its 10 places, dead ones, overdue, loads expected
+      // engines, requests on each (of at most 10), dead engines, stalled, expected loads
       {12, 0, 0, false, 3},
       {12, 5, 0, false, 3},
       {12, 6, 0, false, 3},
@@ -89,16 +90,19 @@
     };
   }
 
-  /** The rest must carry what runs now; but neither load nor dead engines keep old weights. */
+  /**
+   * The remaining engines must have capacity for the requests in flight, but a stalled rollout goes
+   * on despite high load or dead engines.
+   */
   @Test(dataProvider = "demands")
   public void loadsLeaveTheCapacityThatIsNeeded(
-      int engines, int running, int dead, boolean overdue, int expected) {
+      int engines, int running, int dead, boolean stalled, int expected) {
     List<EngineState> states = new ArrayList<>();
     for (int i = 0; i < engines; i++) {
       boolean alive = i >= dead;
       states.add(new EngineState("e" + i, alive, alive ? "v1" : "", false, alive ? running : 0));
     }
-    List<String> next = RollPlan.next(states, "v2", 0, new RollPlan.Demand(10, overdue));
+    List<String> next = RollPlan.next(states, "v2", 0, new RollPlan.Demand(10, stalled));
     assertEquals(next.size(), expected);
   }
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/weights/VersionRolloutTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/weights/VersionRolloutTest.java
@@ -57,7 +57,7 @@
     orderCalls = new CallsByHand();
   }
 
-  /** Engines whose reports are as old as the test says; loads end when it says. */
+  /** Engines whose reports the test sets; an order changes no report by itself. */
   private static final class Engines implements EngineControl {
     final List<String> orders = Collections.synchronizedList(new ArrayList<>());
     final Map<String, Report> reports = new HashMap<>();
@@ -155,7 +155,7 @@
     assertTrue(engines.orders.size() > 3, engines.orders.toString());
   }
 
-  /** Engines do not check fences: orders of two holders must be far apart. */
+  /** Engines do not check fencing tokens, so orders of two holders must be far apart. */
   @Test
   public void aNewHolderWaitsOutTheOneBefore() {
     VersionRollout first = rollout("a", engines.lagging(2));
@@ -165,14 +165,14 @@
     VersionRollout second = rollout("b", engines.lagging(2));
     while (engines.orders.size() == before) {
       steps(second, 1);
-      assertTrue(ticker.millis() - lastOrderMs < 20_000, "the second never orders");
+      assertTrue(ticker.millis() - lastOrderMs < 20_000, "the new holder never sends an order");
     }
-    long apartMs = ticker.millis() - lastOrderMs;
-    assertTrue(apartMs >= LEASE_MS + SETTLE_MS, "only " + apartMs + " ms apart");
+    long gapMs = ticker.millis() - lastOrderMs;
+    assertTrue(gapMs >= LEASE_MS + SETTLE_MS, "orders of two holders only " + gapMs + " ms apart");
     assertTrue(engines.orders.get(before).endsWith("epoch 2"), engines.orders.toString());
     engines.orders.clear();
     steps(first, 4);
-    assertEquals(engines.orders, List.of(), "the first goes on beside the second");
+    assertEquals(engines.orders, List.of(), "the first holder sends orders beside the second");
   }
 
   @Test
@@ -192,7 +192,7 @@
     assertEquals(api.writes(), 0);
   }
 
-  /** Unanswered orders may be carried out seconds later: meanwhile the others have their turn. */
+  /** An unanswered order may be carried out seconds later; meanwhile the other engines load. */
   @Test
   public void anUnansweredOrderHoldsUpNoOtherEngine() {
     engines.outcome = EngineControl.Outcome.UNKNOWN;
@@ -200,7 +200,7 @@
     assertEquals(servers(), List.of("e1", "e2", "e3", "e4", "e5", "e6"));
   }
 
-  /** Orders without an effect come round again, the longest ago first. */
+  /** Orders without an effect are repeated, the oldest first. */
   @Test
   public void unansweredOrdersAreRepeatedInTurn() {
     engines.outcome = EngineControl.Outcome.UNKNOWN;
@@ -209,7 +209,7 @@
         servers(), List.of("e1", "e2", "e3", "e4", "e5", "e6", "e1", "e2", "e3", "e4", "e5", "e6"));
   }
 
-  /** Ten requests at a sixth of the usual speed keep an engine from loading for 8 s. */
+  /** Draining ten requests at a sixth of the usual speed delays an engine's load by 8 s. */
   @Test
   public void anEngineThatStillEndsRequestsHoldsItsPlaceForAWhileOnly() {
     VersionRollout rollout = rollout("a", engines.lagging(2));
@@ -230,24 +230,27 @@
     assertEquals(servers(), List.of("e1", "e2", "e3"));
   }
 
-  /** A report that never comes must not keep the lease from being renewed. */
+  /** A report that never arrives must not prevent the renewal of the lease. */
   @Test
   public void whileAnEngineDoesNotAnswerTheLeaseIsKeptAndTheOthersLoad() {
     VersionRollout rollout = rollout("a", engines.lagging(2));
     engines.outcome = EngineControl.Outcome.UNKNOWN;
     reportCalls.hold();
     steps(rollout, 4);
-    Runnable never = reportCalls.takeFirst();
+    Runnable pending = reportCalls.takeFirst();
     reportCalls.release();
     steps(rollout, 30);
     assertTrue(servers().containsAll(List.of("e2", "e3", "e4", "e5", "e6")), servers().toString());
-    assertFalse(servers().contains("e1"), "ordered without a report: " + never);
+    assertFalse(servers().contains("e1"), "ordered without a report; pending: " + pending);
     for (String order : engines.orders) {
       assertTrue(order.endsWith("epoch 1"), "the lease was lost: " + engines.orders);
     }
   }
 
-  /** Requests go elsewhere before a load begins, by the order of the tasks: it is kept. */
+  /**
+   * Requests are routed away from the engines that load next, by the order of the tasks; loads must
+   * keep to this order if a report is only a little late.
+   */
   @Test
   public void aReportThatComesSoonKeepsTheTurn() {
     VersionRollout rollout = rollout("a", engines.lagging(2));
@@ -271,7 +274,7 @@
     assertEquals(Collections.frequency(engines.asked, "e1"), 2);
   }
 
-  /** A caller may be late: the order of an older holding must not go out under a newer one. */
+  /** An order that a busy executor delays must not be sent in a later lease term. */
   @Test
   public void anOrderThatWaitedForACallerEndsWithItsHolding() {
     VersionRollout first = rollout("a", engines.lagging(2));
@@ -288,13 +291,14 @@
     orderCalls.release();
     assertEquals(engines.orders, List.of());
     steps(first, (int) (SETTLE_MS / STEP_MS) - 3);
-    assertEquals(engines.orders, List.of(), "the holding has not settled");
+    assertEquals(engines.orders, List.of(), "ordered before the end of the handover delay");
     steps(first, 5);
     assertEquals(sorted(), List.of("e1 v2 epoch 3", "e2 v2 epoch 3", "e3 v2 epoch 3"));
   }
 
   /**
-   * Winning anew what this process held shortly before does not end the wait for the one before.
+   * A holder that loses the lease and acquires it again must still wait for the orders of the
+   * holder before it.
    */
   @Test
   public void aNewHolderThatLosesTheLeaseStillWaitsOutTheOneBefore() {
@@ -310,13 +314,13 @@
     api.out(false);
     while (engines.orders.isEmpty()) {
       steps(second, 1);
-      assertTrue(ticker.millis() - endMs < 20_000, "the second never orders");
+      assertTrue(ticker.millis() - endMs < 20_000, "the new holder never sends an order");
     }
     assertTrue(ticker.millis() - endMs >= SETTLE_MS, ticker.millis() - endMs + " ms apart");
     assertTrue(engines.orders.get(0).endsWith("epoch 3"), engines.orders.toString());
   }
 
-  /** The last holder may stand still when the next weights are named. */
+  /** The previous holder may be suspended when the next weights are published. */
   @Test
   public void afterARestAnotherHolderNeedNotWait() {
     List<Task> tasks = new ArrayList<>(engines.lagging(2));
@@ -335,9 +339,9 @@
   }
 
   /**
-   * An engine took an order, started again under its id, and has the weights that it had before it.
-   * Its count of orders begins anew, below that of the order: until this was known by its start, no
-   * report seemed to show the order, and the engine waited for its turn 0.6 s more.
+   * An engine accepts an order, restarts under the same id and has its earlier weights again. Its
+   * order count starts from zero, below the count in the last order. Without its start time no
+   * report seems to reflect that order, and the next order is delayed by 0.6 s.
    */
   @Test
   public void anEngineThatStartsAgainIsOrderedByItsNewCount() {
@@ -352,7 +356,7 @@
     assertEquals(engines.counts.get("e1"), Long.valueOf(0));
   }
 
-  /** A report may be answered before the start that another one tells of, and read after it. */
+  /** A report of an earlier incarnation may arrive after the restart of the engine is known. */
   @Test
   public void aLateReportOfTheStartBeforeOrdersNothing() {
     List<Task> tasks = new ArrayList<>();
@@ -372,8 +376,9 @@
   }
 
   /**
-   * An order that was sent to the start before is carried out late by the later one, whose count of
-   * orders is the same again, and brings it back to older weights: it gets the newest again.
+   * An order that was sent to the earlier incarnation is carried out late by the next one, because
+   * their order counts are equal, and replaces newer weights by older ones. The newest weights must
+   * be ordered again.
    */
   @Test
   public void anOrderThatIsCarriedOutAfterARestartIsMadeUpFor() {
@@ -399,19 +404,19 @@
     return new EngineControl.Report(Map.of("m", version), false, ordersTaken, 0, startedMs);
   }
 
-  /** Each VM that seeks the lease calls the store twice a second while engines lag. */
+  /** Each VM that competes for the lease calls the store twice a second while engines lag. */
   @Test
   public void othersSeekTheLeaseOnlyWhenNothingGoesOn() {
     isCandidate = false;
     List<Task> tasks = new ArrayList<>(engines.lagging(2));
     VersionRollout rollout = rollout("a", tasks);
-    for (int done = 0; done < 5; done++) {
+    for (int updated = 0; updated < 5; updated++) {
       steps(rollout, 30);
       tasks.remove(0);
     }
     assertEquals(api.writes(), 0);
     steps(rollout, 45);
-    assertEquals(servers(), List.of("e6"), "the candidates are all gone");
+    assertEquals(servers(), List.of("e6"), "this VM did not take over from the candidates");
   }
 
   private void firstThreeBusy(int running) {
