--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/FeedNews.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/FeedNews.java
@@ -16,11 +16,12 @@
 package org.landingtrack.internal.loads;
 
 /**
- * What a hub that follows the Object API itself says of one kind of objects there.
+ * Progress of a hub that reads one kind of objects from the Object API itself.
  *
- * @param prefix the kind
- * @param revision the hub has all changes up to this one
- * @param changedRevision the hub's answer with the last change of the kind had this revision
- * @param ageMs how long ago the Object API can have said at the earliest that there are no others
+ * @param prefix the key prefix of the kind
+ * @param revision the revision up to which the hub has all changes
+ * @param changedRevision the revision of the hub's answer that contained the kind's last change
+ * @param ageMs upper bound of the time since the Object API confirmed that there are no further
+ *     changes
  */
 public record FeedNews(String prefix, long revision, long changedRevision, long ageMs) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/Fleet.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/Fleet.java
@@ -31,35 +31,44 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The VMs that this one knows, and the hubs among them. A few VMs tell each other all; in a larger
- * fleet each VM has a hub in its data centre, which is found by rendezvous and passed over for a
- * while when it is silent. Nothing is agreed: VMs with other views ask other hubs, and whoever is
- * asked is one. A round costs a VM the same however many VMs there are, but for one look at all of
- * them every {@link #LOOK_MS} or after a change. Not thread-safe.
+ * Membership view of this VM: the known VMs and the hubs among them. A small fleet is a full mesh.
+ * In a larger fleet each VM has a hub in its data centre, chosen by rendezvous hashing; a silent
+ * hub is excluded for a while. There is no agreement protocol: VMs with different views use
+ * different hubs, and a VM that receives reports as a hub acts as one. The cost of a round does not
+ * depend on the number of VMs, except for one scan of all VMs every {@link #LOOK_MS} or after a
+ * change. Not thread-safe.
  */
 final class Fleet {
-  /** So many VMs tell each other all; as many may ask a store of parts at once. */
+  /**
+   * Largest fleet that is a full mesh. Also the largest number of VMs that poll a part store at
+   * once.
+   */
   static final int MESH_VMS = 12;
 
-  /** VMs that one hub serves; 240 messages in and out a second. */
+  /** VMs per hub; a hub receives and sends 240 messages a second for them. */
   static final int GROUP_VMS = 24;
 
-  /** Hubs are found among the strongest VMs of a data centre, and those about as strong. */
+  /**
+   * Lowest strength of a hub, as a share of the strength of the strongest VM in the data centre.
+   */
   private static final double STRONG_SHARE = 0.7;
 
-  /** A hub answers each round; this is five of them. */
+  /** A hub sends in every round of 100 ms; it counts as silent after five missed rounds. */
   static final long SILENT_MS = 500;
 
-  /** A silent hub is passed over for so long, or until it speaks. */
+  /** How long a silent hub is excluded, unless a message from it arrives earlier. */
   static final long PASS_OVER_MS = 10_000;
 
-  /** A VM that nobody heard for so long is forgotten. */
+  /** A VM is removed when no VM has received a message from it for this long. */
   private static final long FORGET_MS = 60_000;
 
-  /** Hubs change with the VMs and with silences; that a silence is over is seen after so long. */
+  /**
+   * Interval at which hubs are chosen again without a change of the membership; bounds how late the
+   * end of an exclusion is noticed.
+   */
   private static final long LOOK_MS = 500;
 
-  /** Only VMs that somebody heard within this time are named to others. */
+  /** Only VMs that some VM received a message from within this time are reported to others. */
   private static final long NAME_MS = 20_000;
 
   private static final Logger log = LoggerFactory.getLogger("loads");
@@ -89,7 +98,7 @@
     }
   }
 
-  /** Some VMs of a data centre and their hub. */
+  /** A group of VMs in a data centre and its hub. */
   private record Group(String dataCentre, int index, String hub) {}
 
   Fleet(Vm self) {
@@ -97,7 +106,7 @@
     known.put(self.address(), new Known(self));
   }
 
-  /** Notes that a VM spoke. */
+  /** Records that a message from a VM arrived. */
   void heard(Vm vm, long nowMs) {
     Known entry = entry(vm);
     changed |= isPassedOver(entry, nowMs);
@@ -106,20 +115,20 @@
     entry.passOverUntilMs = nowMs;
   }
 
-  /** Notes that another VM heard of a VM at a time. */
+  /** Records that a VM was active at a time, as reported by another VM. */
   void seen(Vm vm, long atMs) {
     Known entry = entry(vm);
     entry.seenAtMs = Math.max(entry.seenAtMs, atMs);
   }
 
-  /** Notes that there may be a VM at an address; its data centre is not known yet. */
+  /** Adds a VM that may exist at an address; its data centre is not known yet. */
   void introduce(String address, long nowMs) {
     if (!known.containsKey(address)) {
       entry(new Vm(address, self.dataCentre(), 0)).seenAtMs = nowMs - NAME_MS - 1;
     }
   }
 
-  /** A VM may have been known by its address alone; what is said of it later counts. */
+  /** Returns the entry of a VM. Later data replaces an entry that has only an address. */
   private Known entry(Vm vm) {
     Known entry = known.get(vm.address());
     if (entry == null || !entry.vm.isSame(vm)) {
@@ -130,7 +139,7 @@
     return entry;
   }
 
-  /** Forgets VMs that are gone and finds the hubs anew, if that is due. */
+  /** Removes expired VMs and chooses the hubs again, if that is due. */
   void refresh(long nowMs) {
     if (!changed && nowMs - lookedAtMs < LOOK_MS) {
       return;
@@ -141,7 +150,7 @@
     groups = isMesh() ? List.of() : findGroups(nowMs);
   }
 
-  /** Returns how many VMs are known, this one among them. */
+  /** Returns the number of known VMs, including this one. */
   int size() {
     return known.size();
   }
@@ -150,18 +159,18 @@
     return known.size() <= MESH_VMS;
   }
 
-  /** Returns the other VMs that spoke within a time. */
+  /** Returns the other VMs from which a message arrived within a time. */
   List<Vm> heardWithin(long ms, long nowMs) {
-    List<Vm> heard = new ArrayList<>();
+    List<Vm> active = new ArrayList<>();
     for (Known entry : known.values()) {
       if (nowMs - entry.heardAtMs <= ms && !entry.isOf(self)) {
-        heard.add(entry.vm);
+        active.add(entry.vm);
       }
     }
-    return heard;
+    return active;
   }
 
-  /** Returns the other VMs of which nothing was heard for a time. */
+  /** Returns the other VMs from which no message arrived for a time. */
   List<Vm> silentFor(long ms, long nowMs) {
     List<Vm> silent = new ArrayList<>();
     for (Known entry : known.values()) {
@@ -173,9 +182,9 @@
   }
 
   /**
-   * Returns some of the other VMs that somebody heard lately, in turn.
+   * Returns up to {@code count} of the other VMs that were active recently, in round-robin order.
    *
-   * @param after the address of the last one that was returned before; those after it come first
+   * @param after the last address of the previous call; the addresses after it come first
    */
   List<Sighting> sightings(long nowMs, String after, int count) {
     List<Sighting> sightings = new ArrayList<>();
@@ -197,12 +206,12 @@
     }
   }
 
-  /** Returns true if of the VMs that somebody heard lately this one has the most weight. */
+  /** Returns true if this VM has the highest rendezvous weight of all recently active VMs. */
   boolean isHeaviest(long key, long nowMs) {
     long own = Hashes.weight(key, Hashes.placement(self.address()));
     for (Known entry : known.values()) {
-      boolean isThere = nowMs - entry.seenAtMs <= NAME_MS && !entry.isOf(self);
-      if (isThere && Hashes.weight(key, entry.hash) > own) {
+      boolean isActive = nowMs - entry.seenAtMs <= NAME_MS && !entry.isOf(self);
+      if (isActive && Hashes.weight(key, entry.hash) > own) {
         return false;
       }
     }
@@ -251,7 +260,7 @@
     return nowMs < entry.passOverUntilMs && !entry.isOf(self);
   }
 
-  /** Returns the hub that this VM belongs to; itself if it is one. */
+  /** Returns the hub of this VM; its own address if it is a hub or has none. */
   String ownHub() {
     List<Group> own = new ArrayList<>();
     for (Group group : groups) {
@@ -288,7 +297,7 @@
     return false;
   }
 
-  /** Notes the hubs that should speak in this round, and passes over those that do not. */
+  /** Records the hubs that have to send in this round, and excludes those that stay silent. */
   void expect(Set<String> hubs, long nowMs) {
     for (Known entry : expected) {
       if (!hubs.contains(entry.vm.address())) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/FleetTallies.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/FleetTallies.java
@@ -26,11 +26,11 @@
 import org.landingtrack.internal.loads.LoadNews.Kind;
 
 /**
- * What all VMs count of one topic, summed up by the news that they tell each other: what a VM tells
- * its hub, hubs each other, and a hub its VMs, as in {@link PeerLoads}. A sum is as old as two or
- * three rounds of news, and lacks VMs that are not heard. Sums are made when they are asked for. A
- * VM is told at most {@link TallyTopic#mostKeys} keys ten times a second, of 9 bytes and 1 to 9 for
- * each count, however many VMs there are. Not thread-safe.
+ * Sums the counters of one topic over all VMs. The counters travel in gossip messages from a VM to
+ * its hub, between hubs, and from a hub to its VMs, as in {@link PeerLoads}. A sum is two or three
+ * rounds old and lacks VMs whose messages do not arrive. Sums are computed on demand. A message
+ * carries at most {@link TallyTopic#mostKeys} keys, ten times a second, with 9 bytes a key and 1 to
+ * 9 bytes a count, whatever the number of VMs. Not thread-safe.
  */
 public final class FleetTallies {
   private final PeerLoads peers;
@@ -43,14 +43,14 @@
   private boolean outdated;
   private long summedAtMs;
 
-  /** What one VM told last. */
+  /** The last report of one VM. */
   private record Report(Kind kind, long atMs, List<Tally> tallies) {}
 
   /**
-   * Creates sums of what no other VM has told yet.
+   * Creates sums without reports of other VMs.
    *
-   * @param peers who tells whom
-   * @param own what this VM counts; asked in each round
+   * @param peers the message routes and the age limit of reports
+   * @param own supplies the tallies of this VM; called in each round
    */
   public FleetTallies(PeerLoads peers, Ticker ticker, TallyTopic topic, Supplier<List<Tally>> own) {
     this.peers = peers;
@@ -59,27 +59,29 @@
     this.own = own;
   }
 
-  /** Takes the latest news of a VM; one that says nothing of a topic counts nothing. */
-  public static void heard(LoadNews news, List<FleetTallies> topics) {
+  /**
+   * Applies the latest message of a VM. A topic that the message lacks has no tallies at that VM.
+   */
+  public static void heard(LoadNews message, List<FleetTallies> topics) {
     for (FleetTallies each : topics) {
-      List<Tally> told = List.of();
-      for (TallyNews topic : news.tallies()) {
-        told = topic.topic() == each.topic ? topic.tallies() : told;
+      List<Tally> tallies = List.of();
+      for (TallyNews report : message.tallies()) {
+        tallies = report.topic() == each.topic ? report.tallies() : tallies;
       }
-      each.heard(news.sender().address(), news.kind(), told);
+      each.heard(message.sender().address(), message.kind(), tallies);
     }
   }
 
-  /** Returns what a message of a kind says of some topics. */
+  /** Returns the tallies of several topics for a message of a kind. */
   public static List<TallyNews> news(Kind kind, List<FleetTallies> topics) {
-    List<TallyNews> news = new ArrayList<>();
+    List<TallyNews> created = new ArrayList<>();
     for (FleetTallies each : topics) {
-      List<Tally> told = each.news(kind);
-      if (!told.isEmpty()) {
-        news.add(new TallyNews(each.topic, told));
+      List<Tally> tallies = each.news(kind);
+      if (!tallies.isEmpty()) {
+        created.add(new TallyNews(each.topic, tallies));
       }
     }
-    return news;
+    return created;
   }
 
   private void heard(String sender, Kind kind, List<Tally> tallies) {
@@ -94,10 +96,10 @@
   private List<Tally> news(Kind kind) {
     List<Tally> counted = own.get();
     if (kind == Kind.OWN) {
-      List<Tally> news = largest(counted);
-      told = add(new HashMap<>(), news);
+      List<Tally> sent = largest(counted);
+      told = add(new HashMap<>(), sent);
       outdated = true;
-      return news;
+      return sent;
     }
     Map<Long, Tally> sum = add(new HashMap<>(), counted);
     for (Report report : reports.values()) {
@@ -118,12 +120,12 @@
     return sorted.subList(0, topic.mostKeys());
   }
 
-  /** Returns what the other VMs count of a key. */
+  /** Returns the sum of the other VMs for a key. */
   public Tally others(long key) {
     return others().getOrDefault(key, Tally.nothing(key));
   }
 
-  /** Returns what the other VMs count, by key. */
+  /** Returns the sums of the other VMs by key. */
   public Map<Long, Tally> others() {
     long now = ticker.millis();
     if (outdated || now - summedAtMs >= PeerLoads.ROUND_MS) {
@@ -134,7 +136,10 @@
     return others;
   }
 
-  /** A hub counts its VMs and other hubs' groups; a VM with a hub what that one tells of others. */
+  /**
+   * Returns the sum over the other VMs: at a hub, over its VMs and the groups of other hubs; at a
+   * VM with a hub, the latest total from the hub without the tallies of this VM.
+   */
   private Map<Long, Tally> sumOfOthers() {
     Map<Long, Tally> sum = new HashMap<>();
     Report latest = null;
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/LimitNews.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/LimitNews.java
@@ -16,18 +16,18 @@
 package org.landingtrack.internal.loads;
 
 /**
- * What a VM knows of the limit of one backend server, from the server's own answers.
+ * Reports the rate limit that one backend server stated in its answers.
  *
- * @param server hash of the server's start
- * @param perSecond the requests a second that it takes from all VMs; less than 0 if it has no limit
- *     any more
- * @param agoMs how long ago it said so
+ * @param server hash of the server's incarnation
+ * @param perSecond requests a second that the server accepts from all VMs together; less than 0 if
+ *     the limit was lifted
+ * @param agoMs age of the statement in milliseconds
  */
 public record LimitNews(long server, double perSecond, long agoMs) {
-  /** Stands for a limit that is over. */
+  /** Value of {@link #perSecond} for a limit that was lifted. */
   public static final double NONE = -1;
 
-  /** Returns true if the server has no limit any more. */
+  /** Returns true if the limit was lifted. */
   public boolean isOver() {
     return perSecond < 0;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/LoadExchange.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/LoadExchange.java
@@ -37,17 +37,30 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends and hears the news of loads and of stores over UDP. */
+/**
+ * Sends and receives gossip messages over UDP: load reports, reports about part stores and
+ * everything else that VMs share. Messages are received on a thread of its own and applied on the
+ * event loop.
+ */
 public final class LoadExchange implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("loads");
 
-  /** The largest datagram; a hub's news of a dozen stores with many changes have some 20 kB. */
+  /**
+   * Largest payload of a UDP datagram. A hub's message about a dozen part stores with many changes
+   * has about 20 kB.
+   */
   private static final int MAX_BYTES = 65_507;
 
-  /** Servers told of in one message: 2.4 kB, ten times a second, is what news may cost a VM. */
+  /**
+   * Servers in one message. They take 2.4 kB, ten times a second, which is what load reports may
+   * cost a VM.
+   */
   static final int MAX_LOADS = 90;
 
-  /** Sends that are not told of would be made up for by other VMs, beyond a server's limit. */
+  /**
+   * Ranks a server with a rate limit above all others: if sends to it were not reported, other VMs
+   * would use the same share of the limit again and exceed it.
+   */
   private static final long LIMITED_WEIGHT = 1_000_000;
 
   private final PeerLoads peers;
@@ -62,60 +75,65 @@
   private final DatagramSocket socket;
 
   /**
-   * Starts at the time of day, so that a process that starts again goes on above the one before.
+   * Starts at the wall-clock time in milliseconds, so that a restarted process continues above the
+   * numbers of the previous one.
    */
   private long sequence = Instant.now().toEpochMilli();
 
   private volatile boolean closed;
 
-  /** Where news of stores come from and go to; used on the loop. */
+  /** Supplies and receives reports about part stores. Called on the event loop. */
   public interface StoreNewsBoard {
     /**
-     * Returns what was new when the round began.
+     * Returns the reports that were new when the round began.
      *
-     * @param kind the kind of the message: other hubs are told only what this VM asked itself
+     * @param kind the kind of the message; other hubs get only reports of stores that this VM polls
+     *     itself
      */
     List<StoreNews> news(Kind kind);
 
-    /** Begins a round: what is new from now on is told in the next one. */
+    /** Begins a round. Reports that arrive from now on are sent in the next one. */
     void nextRound();
 
-    /** Takes news of another VM. */
-    void heard(StoreNews news);
+    /** Applies a report of another VM. */
+    void heard(StoreNews report);
   }
 
-  /** Where news of the Object API come from and go to; used on the loop. */
+  /** Supplies and receives the progress of reading the Object API. Called on the event loop. */
   public interface FeedNewsExchange {
-    /** Returns how far this VM has read itself. */
+    /** Returns the progress of this VM, for each kind of objects that it reads itself. */
     List<FeedNews> news();
 
-    /** Takes news of a hub. */
-    void heard(String hub, List<FeedNews> news);
+    /** Applies the reports of a hub. */
+    void heard(String hub, List<FeedNews> reports);
   }
 
   /**
-   * Where news of one kind come from and go to; used on the loop.
+   * Supplies and receives reports of one type. Called on the event loop.
    *
-   * @param <N> the news
+   * @param <N> the type of report
    */
   public interface Board<N> {
-    /** Returns what this VM heard lately, of servers or of other VMs. */
+    /** Returns the recent reports of this VM, from servers or from other VMs. */
     List<N> news();
 
-    /** Takes news of another VM. */
-    void heard(List<N> news);
+    /** Applies the reports of another VM. */
+    void heard(List<N> reports);
   }
 
   /**
-   * Binds the socket.
+   * Binds the socket to the address of this VM.
    *
-   * @param own what this VM has under way; asked on the loop
-   * @param feeds what hubs say of the Object API
-   * @param quarantine what VMs know of requests under which servers ended
-   * @param limits what servers said of their limits
-   * @param rests which servers want rest
-   * @param tallies what VMs count for each other, one for each topic
-   * @param loop runs whatever touches {@code peers} and {@code stores}
+   * @param peers the other VMs, their loads and the message routes
+   * @param own supplies the load of this VM at each server; called on {@code loop}
+   * @param stores reports about part stores
+   * @param feeds progress of hubs that read the Object API
+   * @param quarantine requests that were in flight at servers that crashed
+   * @param limits rate limits that servers stated
+   * @param serverBackoffs servers in backoff
+   * @param tallies counters that VMs share, one object for each topic
+   * @param loop the event loop; runs everything that uses the other parameters
+   * @throws IOException if the address cannot be bound
    */
   public LoadExchange(
       PeerLoads peers,
@@ -124,14 +142,14 @@
       FeedNewsExchange feeds,
       Quarantine quarantine,
       Board<LimitNews> limits,
-      Board<RestNews> rests,
+      Board<RestNews> serverBackoffs,
       List<FleetTallies> tallies,
       Executor loop)
       throws IOException {
     this.feeds = feeds;
     this.quarantine = quarantine;
     this.limits = limits;
-    this.rests = rests;
+    this.rests = serverBackoffs;
     this.tallies = List.copyOf(tallies);
     this.peers = peers;
     this.own = own;
@@ -141,7 +159,7 @@
     this.socket = new DatagramSocket(address);
   }
 
-  /** Starts hearing. */
+  /** Starts the thread that receives messages. */
   public void start() {
     Duty.daemon("loads").newThread(this::hear).start();
   }
@@ -152,58 +170,58 @@
       DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
       try {
         socket.receive(packet);
-        LoadNews news = LoadNewsCodec.decode(buffer, packet.getLength());
-        loop.execute(() -> take(news));
+        LoadNews message = LoadNewsCodec.decode(buffer, packet.getLength());
+        loop.execute(() -> take(message));
       } catch (IOException e) {
         if (!closed) {
-          log.debug("A datagram cannot be read: {}.", e.toString());
+          log.debug("Cannot receive or decode a gossip message: {}.", e.toString());
         }
       }
     }
   }
 
-  private void take(LoadNews news) {
-    boolean isLatest = peers.heard(news);
-    news.stores().forEach(stores::heard);
-    quarantine.heard(news.suspects());
-    limits.heard(news.limits());
-    rests.heard(news.rests());
+  private void take(LoadNews message) {
+    boolean isLatest = peers.heard(message);
+    message.stores().forEach(stores::heard);
+    quarantine.heard(message.suspects());
+    limits.heard(message.limits());
+    rests.heard(message.rests());
     if (isLatest) {
-      feeds.heard(news.sender().address(), news.feeds());
-      FleetTallies.heard(news, tallies);
+      feeds.heard(message.sender().address(), message.feeds());
+      FleetTallies.heard(message, tallies);
     }
   }
 
-  /** Sends one round of news. Runs on the loop. */
+  /** Sends the messages of one round. Has to be called on the event loop. */
   public void tell() {
-    List<Mail> mails = peers.nextRound();
+    List<Mail> due = peers.nextRound();
     stores.nextRound();
-    if (mails.isEmpty()) {
+    if (due.isEmpty()) {
       return;
     }
     quarantine.nextRound();
     List<Load> loads = own.get();
-    List<Sighting> seen = peers.sightings();
+    List<Sighting> sightings = peers.sightings();
     sequence++;
     Map<Kind, byte[]> byKind = new EnumMap<>(Kind.class);
-    for (Mail mail : mails) {
-      byte[] bytes = byKind.computeIfAbsent(mail.kind(), kind -> encode(kind, loads, seen));
-      send(mail.receiver(), bytes);
+    for (Mail message : due) {
+      byte[] bytes = byKind.computeIfAbsent(message.kind(), kind -> encode(kind, loads, sightings));
+      send(message.receiver(), bytes);
     }
   }
 
-  /** All receivers of a kind are told the same. */
-  private byte[] encode(Kind kind, List<Load> own, List<Sighting> seen) {
+  /** Encodes the message of a kind, which is the same for all its receivers. */
+  private byte[] encode(Kind kind, List<Load> own, List<Sighting> sightings) {
     List<Load> counted = peers.loadsFor(kind, own);
-    List<Load> told = heaviest(counted);
+    List<Load> reported = heaviest(counted);
     try {
       return LoadNewsCodec.encode(
           new LoadNews(
               peers.self(),
               sequence,
               kind,
-              seen,
-              told,
+              sightings,
+              reported,
               stores.news(kind),
               kind == Kind.ALL ? feeds.news() : List.of(),
               quarantine.news(),
@@ -211,13 +229,13 @@
               rests.news(),
               FleetTallies.news(kind, tallies)));
     } catch (IOException e) {
-      throw new IllegalStateException("news cannot be encoded", e);
+      throw new IllegalStateException("the gossip message of this round cannot be encoded", e);
     }
   }
 
   /**
-   * Returns what is told where not all fits: a server that is left out counts as idle, so those are
-   * left out that are nearest to it.
+   * Returns the loads to report if not all fit in a message. A server that is left out counts as
+   * idle, so the servers with the least load are left out.
    */
   static List<Load> heaviest(List<Load> loads) {
     if (loads.size() <= MAX_LOADS) {
@@ -240,7 +258,7 @@
     try {
       socket.send(new DatagramPacket(bytes, bytes.length, Addresses.parse(receiver)));
     } catch (IOException e) {
-      log.debug("News for {} were not sent: {}.", receiver, e.toString());
+      log.debug("Cannot send the gossip message to {}: {}.", receiver, e.toString());
     }
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/LoadNews.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/LoadNews.java
@@ -19,19 +19,20 @@
 import org.landingtrack.internal.quarantine.SuspectNews;
 
 /**
- * What one VM tells another by one datagram, as MessagePack without names.
+ * Gossip message from one VM to another in one datagram, encoded as MessagePack arrays without
+ * field names.
  *
- * @param sender the VM that tells
- * @param sequence rises with each of the sender's messages
+ * @param sender the VM that sends the message
+ * @param sequence increases with each message of the sender
  * @param kind whose requests {@code loads} counts
- * @param seen some VMs that were heard of lately
- * @param loads requests under way, for servers where there are any
- * @param stores news of stores of prompt parts
- * @param feeds how far the sender has read of the Object API itself; only hubs tell
- * @param suspects requests under which servers ended
- * @param limits what servers said lately of their limits
- * @param rests servers that asked lately for rest
- * @param tallies what VMs count for each other
+ * @param seen some of the VMs that were active recently
+ * @param loads requests in flight, for the servers that have any
+ * @param stores reports about part stores
+ * @param feeds the sender's progress in reading the Object API itself; only from hubs
+ * @param suspects requests that were in flight at servers that crashed
+ * @param limits rate limits that servers stated recently
+ * @param rests servers that asked recently for a backoff
+ * @param tallies counters that VMs share
  */
 public record LoadNews(
     Vm sender,
@@ -57,8 +58,7 @@
   }
 
   /**
-   * Creates news that tell nothing of the Object API, of suspects, of what servers asked for and of
-   * what VMs count.
+   * Creates a message without Object API progress, suspects, server limits, backoffs and tallies.
    */
   public LoadNews(
       Vm sender,
@@ -72,24 +72,28 @@
         List.of());
   }
 
-  /** Whose requests a message counts. */
+  /** Says whose requests a message counts. */
   public enum Kind {
-    /** The sender's. */
+    /** Requests of the sender. */
     OWN,
-    /** Those of the sender and of the VMs that tell it theirs; one hub tells another. */
+    /** Requests of the sender and of the VMs that report to it; sent from hub to hub. */
     GROUP,
-    /** Those of all VMs; a hub tells the VMs that told it theirs. */
+    /** Requests of all VMs; sent from a hub to the VMs that report to it. */
     ALL
   }
 
   /**
-   * A VM.
+   * Identifies a VM.
    *
-   * @param address where it hears news
-   * @param strength hundredths of a core; 0 where it is not known
+   * @param address host and port at which it receives gossip messages
+   * @param dataCentre the data centre of the VM
+   * @param strength processor capacity in hundredths of a core; 0 if unknown
    */
   public record Vm(String address, String dataCentre, int strength) {
-    /** Returns true if both say the same. A record's own comparison is linked at run time. */
+    /**
+     * Returns true if all components are equal. Compares directly, since the generated {@code
+     * equals} of a record is linked at run time.
+     */
     boolean isSame(Vm other) {
       return strength == other.strength
           && address.equals(other.address)
@@ -98,21 +102,21 @@
   }
 
   /**
-   * A VM that spoke to the sender or to another one.
+   * A VM from which the sender or another VM received a message.
    *
-   * @param agoMs how long ago it spoke
+   * @param agoMs milliseconds since that message arrived
    */
   public record Sighting(Vm vm, long agoMs) {}
 
   /**
-   * Work at one server or store of prompt parts.
+   * Load of one server or part store.
    *
-   * @param server hash of the id of the server's start, or of the store's address
-   * @param pendingTokens prompt tokens that the server has yet to read
-   * @param running requests, or moves at a store
-   * @param movingMs how long moves of kept state keep its link busy
-   * @param heldTokens tokens of its memory that requests under way need
-   * @param limitedSends requests that it was sent lately, if it has a limit
+   * @param server hash of the id of the server's incarnation, or of the part store's address
+   * @param pendingTokens prompt tokens that the server has yet to prefill
+   * @param running requests in flight; at a part store, transfers
+   * @param movingMs how long pending transfers keep the link of the server or store busy
+   * @param heldTokens tokens of the server's memory that requests in flight need
+   * @param limitedSends requests sent to the server recently, if it has a rate limit
    */
   public record Load(
       long server,
@@ -121,7 +125,7 @@
       long movingMs,
       long heldTokens,
       int limitedSends) {
-    /** Creates the load of a server without a limit. */
+    /** Creates the load of a server without a rate limit. */
     public Load(long server, long pendingTokens, int running, long movingMs, long heldTokens) {
       this(server, pendingTokens, running, movingMs, heldTokens, 0);
     }
@@ -137,7 +141,7 @@
           limitedSends + other.limitedSends);
     }
 
-    /** Returns this load without another one, and never less than nothing. */
+    /** Returns this load minus another one, with no component below 0. */
     Load without(Load other) {
       return new Load(
           server,
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/LoadNewsCodec.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/LoadNewsCodec.java
@@ -31,17 +31,19 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * News as MessagePack arrays without names, field by field. A VM hears and tells ten messages a
- * second, a hub hundreds. Read by reflection they took a VM 0.8 s of processor time in a minute;
- * read so, with less to do for each, 0.3 s (mean of 95 VMs, by the thread that hears).
+ * Encodes and decodes gossip messages as MessagePack arrays without field names. The fields are
+ * written and read one by one instead of by reflection: a VM sends and receives ten messages a
+ * second and a hub hundreds, and decoding by reflection took a VM 0.8 s of processor time a minute
+ * against 0.3 s (mean of 95 VMs, on the receiving thread; the lower figure includes that less is
+ * done for each message).
  */
 final class LoadNewsCodec {
-  /** Entries of any list; the largest datagram has room for fewer. */
+  /** Largest number of entries in a list; the largest datagram has room for fewer. */
   private static final int MAX_ENTRIES = 10_000;
 
   private static final int FIELDS = 11;
 
-  /** Messages of older releases end earlier, those of later ones have more that is not read. */
+  /** Messages of older releases have fewer fields; further fields of newer ones are ignored. */
   private static final int LEAST_FIELDS = 8;
 
   private static final int LIMITS_FIELD = 9;
@@ -51,60 +53,60 @@
   private static final int LOAD_FIELDS = 6;
   private static final int LOAD_FIELDS_BEFORE = 5;
 
-  /** Counts of one key; more of them no release has. */
+  /** Largest number of counts for one key; no release sends more. */
   private static final int MAX_COUNTS = 32;
 
   private LoadNewsCodec() {}
 
-  static byte[] encode(LoadNews news) throws IOException {
+  static byte[] encode(LoadNews message) throws IOException {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       packer.packArrayHeader(FIELDS);
-      pack(packer, news.sender());
-      packer.packLong(news.sequence());
-      packer.packString(news.kind().name());
-      packer.packArrayHeader(news.seen().size());
-      for (Sighting sighting : news.seen()) {
+      pack(packer, message.sender());
+      packer.packLong(message.sequence());
+      packer.packString(message.kind().name());
+      packer.packArrayHeader(message.seen().size());
+      for (Sighting sighting : message.seen()) {
         packer.packArrayHeader(2);
         pack(packer, sighting.vm());
         packer.packLong(sighting.agoMs());
       }
-      packer.packArrayHeader(news.loads().size());
-      for (Load load : news.loads()) {
+      packer.packArrayHeader(message.loads().size());
+      for (Load load : message.loads()) {
         pack(packer, load);
       }
-      packer.packArrayHeader(news.stores().size());
-      for (StoreNews store : news.stores()) {
+      packer.packArrayHeader(message.stores().size());
+      for (StoreNews store : message.stores()) {
         pack(packer, store);
       }
-      packer.packArrayHeader(news.feeds().size());
-      for (FeedNews feed : news.feeds()) {
+      packer.packArrayHeader(message.feeds().size());
+      for (FeedNews feed : message.feeds()) {
         packer.packArrayHeader(4);
         packer.packString(feed.prefix());
         packer.packLong(feed.revision());
         packer.packLong(feed.changedRevision());
         packer.packLong(feed.ageMs());
       }
-      packer.packArrayHeader(news.suspects().size());
-      for (SuspectNews suspect : news.suspects()) {
+      packer.packArrayHeader(message.suspects().size());
+      for (SuspectNews suspect : message.suspects()) {
         pack(packer, suspect);
       }
-      packer.packArrayHeader(news.limits().size());
-      for (LimitNews limit : news.limits()) {
+      packer.packArrayHeader(message.limits().size());
+      for (LimitNews limit : message.limits()) {
         packer.packArrayHeader(3);
         packer.packLong(limit.server());
         packer.packDouble(limit.perSecond());
         packer.packLong(limit.agoMs());
       }
-      packer.packArrayHeader(news.rests().size());
-      for (RestNews rest : news.rests()) {
+      packer.packArrayHeader(message.rests().size());
+      for (RestNews backoff : message.rests()) {
         packer.packArrayHeader(3);
-        packer.packLong(rest.server());
-        packer.packLong(rest.leftMs());
-        packer.packLong(rest.agoMs());
+        packer.packLong(backoff.server());
+        packer.packLong(backoff.leftMs());
+        packer.packLong(backoff.agoMs());
       }
-      packer.packArrayHeader(news.tallies().size());
-      for (TallyNews topic : news.tallies()) {
-        pack(packer, topic);
+      packer.packArrayHeader(message.tallies().size());
+      for (TallyNews report : message.tallies()) {
+        pack(packer, report);
       }
       return packer.toByteArray();
     }
@@ -128,11 +130,11 @@
     }
   }
 
-  private static void pack(MessageBufferPacker packer, TallyNews news) throws IOException {
+  private static void pack(MessageBufferPacker packer, TallyNews report) throws IOException {
     packer.packArrayHeader(2);
-    packer.packInt(news.topic().code());
-    packer.packArrayHeader(news.tallies().size());
-    for (Tally tally : news.tallies()) {
+    packer.packInt(report.topic().code());
+    packer.packArrayHeader(report.tallies().size());
+    for (Tally tally : report.tallies()) {
       packer.packArrayHeader(1 + tally.size());
       packer.packLong(tally.key());
       for (int i = 0; i < tally.size(); i++) {
@@ -174,12 +176,16 @@
     }
   }
 
-  /** Decodes a datagram; throws {@link IOException} for one that is no news. */
+  /**
+   * Decodes the first {@code length} bytes of a datagram.
+   *
+   * @throws IOException if they are not a valid message
+   */
   static LoadNews decode(byte[] bytes, int length) throws IOException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes, 0, length)) {
       int fields = unpacker.unpackArrayHeader();
       if (fields < LEAST_FIELDS) {
-        throw new IOException("no news: " + fields + " fields");
+        throw new IOException("invalid gossip message: " + fields + " fields, expected at least 8");
       }
       Vm sender = vm(unpacker);
       long sequence = unpacker.unpackLong();
@@ -197,20 +203,21 @@
           fields >= RESTS_FIELD ? rests(unpacker) : List.of(),
           fields >= TALLIES_FIELD ? tallies(unpacker) : List.of());
     } catch (MessagePackException | IllegalArgumentException e) {
-      throw new IOException("no news: " + e, e);
+      throw new IOException("invalid gossip message: " + e, e);
     }
   }
 
   private static void expect(MessageUnpacker unpacker, int fields) throws IOException {
     if (unpacker.unpackArrayHeader() != fields) {
-      throw new IOException("no news: another number of fields");
+      throw new IOException("invalid gossip message: an entry has another number of fields");
     }
   }
 
   private static int size(MessageUnpacker unpacker) throws IOException {
     int size = unpacker.unpackArrayHeader();
     if (size > MAX_ENTRIES) {
-      throw new IOException("no news: " + size + " entries");
+      throw new IOException(
+          "invalid gossip message: a list of " + size + " entries, expected at most 10000");
     }
     return size;
   }
@@ -222,7 +229,7 @@
 
   private static List<Sighting> sightings(MessageUnpacker unpacker) throws IOException {
     List<Sighting> list = new ArrayList<>();
-    for (int left = size(unpacker); left > 0; left--) {
+    for (int remaining = size(unpacker); remaining > 0; remaining--) {
       expect(unpacker, 2);
       list.add(new Sighting(vm(unpacker), unpacker.unpackLong()));
     }
@@ -231,10 +238,11 @@
 
   private static List<Load> loads(MessageUnpacker unpacker) throws IOException {
     List<Load> list = new ArrayList<>();
-    for (int left = size(unpacker); left > 0; left--) {
+    for (int remaining = size(unpacker); remaining > 0; remaining--) {
       int fields = unpacker.unpackArrayHeader();
       if (fields != LOAD_FIELDS && fields != LOAD_FIELDS_BEFORE) {
-        throw new IOException("no news: a load of " + fields + " fields");
+        throw new IOException(
+            "invalid gossip message: a load of " + fields + " fields, expected 5 or 6");
       }
       list.add(
           new Load(
@@ -250,7 +258,7 @@
 
   private static List<StoreNews> stores(MessageUnpacker unpacker) throws IOException {
     List<StoreNews> list = new ArrayList<>();
-    for (int left = size(unpacker); left > 0; left--) {
+    for (int remaining = size(unpacker); remaining > 0; remaining--) {
       expect(unpacker, 6);
       list.add(
           new StoreNews(
@@ -266,7 +274,7 @@
 
   private static List<FeedNews> feeds(MessageUnpacker unpacker) throws IOException {
     List<FeedNews> list = new ArrayList<>();
-    for (int left = size(unpacker); left > 0; left--) {
+    for (int remaining = size(unpacker); remaining > 0; remaining--) {
       expect(unpacker, 4);
       list.add(
           new FeedNews(
@@ -280,7 +288,7 @@
 
   private static List<SuspectNews> suspects(MessageUnpacker unpacker) throws IOException {
     List<SuspectNews> list = new ArrayList<>();
-    for (int left = size(unpacker); left > 0; left--) {
+    for (int remaining = size(unpacker); remaining > 0; remaining--) {
       expect(unpacker, 7);
       list.add(
           new SuspectNews(
@@ -295,7 +303,7 @@
 
   private static List<LimitNews> limits(MessageUnpacker unpacker) throws IOException {
     List<LimitNews> list = new ArrayList<>();
-    for (int left = size(unpacker); left > 0; left--) {
+    for (int remaining = size(unpacker); remaining > 0; remaining--) {
       expect(unpacker, 3);
       list.add(
           new LimitNews(unpacker.unpackLong(), unpacker.unpackDouble(), unpacker.unpackLong()));
@@ -305,7 +313,7 @@
 
   private static List<RestNews> rests(MessageUnpacker unpacker) throws IOException {
     List<RestNews> list = new ArrayList<>();
-    for (int left = size(unpacker); left > 0; left--) {
+    for (int remaining = size(unpacker); remaining > 0; remaining--) {
       expect(unpacker, 3);
       list.add(new RestNews(unpacker.unpackLong(), unpacker.unpackLong(), unpacker.unpackLong()));
     }
@@ -314,7 +322,7 @@
 
   private static List<TallyNews> tallies(MessageUnpacker unpacker) throws IOException {
     List<TallyNews> list = new ArrayList<>();
-    for (int left = size(unpacker); left > 0; left--) {
+    for (int remaining = size(unpacker); remaining > 0; remaining--) {
       expect(unpacker, 2);
       TallyTopic topic = TallyTopic.of(unpacker.unpackInt());
       List<Tally> tallies = new ArrayList<>();
@@ -331,7 +339,8 @@
   private static Tally tally(MessageUnpacker unpacker) throws IOException {
     int fields = unpacker.unpackArrayHeader();
     if (fields < 1 || fields > 1 + MAX_COUNTS) {
-      throw new IOException("no news: a tally of " + fields + " fields");
+      throw new IOException(
+          "invalid gossip message: a tally of " + fields + " fields, expected 1 to 33");
     }
     long key = unpacker.unpackLong();
     long[] counts = new long[fields - 1];
@@ -343,7 +352,7 @@
 
   private static List<Long> longs(MessageUnpacker unpacker) throws IOException {
     List<Long> list = new ArrayList<>();
-    for (int left = size(unpacker); left > 0; left--) {
+    for (int remaining = size(unpacker); remaining > 0; remaining--) {
       list.add(unpacker.unpackLong());
     }
     return list;
@@ -351,7 +360,7 @@
 
   private static List<Change> changes(MessageUnpacker unpacker) throws IOException {
     List<Change> list = new ArrayList<>();
-    for (int left = size(unpacker); left > 0; left--) {
+    for (int remaining = size(unpacker); remaining > 0; remaining--) {
       expect(unpacker, 3);
       list.add(new Change(unpacker.unpackBoolean(), unpacker.unpackString(), unpacker.unpackInt()));
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/PeerLoads.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/PeerLoads.java
@@ -29,48 +29,56 @@
 import org.landingtrack.internal.loads.LoadNews.Vm;
 
 /**
- * What other VMs have under way at backend servers, and who tells whom. Up to a dozen VMs tell each
- * other; in a larger fleet each tells its hub, hubs tell each other the sums of their groups, and a
- * hub tells its VMs what all have, of which each takes off its own. News are only kept as they
- * come; they are added up when the sums are asked for. Not thread-safe.
+ * Tracks the load of the other VMs at backend servers and decides which VM sends to which. Up to a
+ * dozen VMs send to each other. In a larger fleet each VM reports to its hub, hubs send each other
+ * the sums of their groups, and a hub sends its VMs the total, from which each VM subtracts its own
+ * load. Reports are stored as they arrive and summed on demand. Not thread-safe.
  */
 public final class PeerLoads {
-  /** Between two rounds of news. */
+  /** Interval between two rounds of messages. */
   public static final long ROUND_MS = 100;
 
-  /** VMs that hear the news of a round while nobody is a hub; more take turns. */
+  /** Receivers in a round of a mesh; in a larger mesh the receivers rotate. */
   static final int PEERS_A_ROUND = 8;
 
-  /** News are used for so many times the time between two of a sender. */
+  /** A report is used for this many intervals between two reports of its sender. */
   private static final long FRESH_ROUNDS = 4;
 
-  /** A VM that was not heard of for so long gets news only now and then. */
+  /** A VM that sent nothing for this long gets messages only occasionally. */
   private static final long QUIET_MS = 2_000;
 
-  /** A hub serves a VM for so long after its last word. */
+  /** A hub sends to a VM for this long after that VM's last message. */
   private static final long SERVED_MS = 1_000;
 
   private static final int QUIET_EVERY_ROUNDS = 10;
 
-  /** In so many rounds a VM that starts has heard of more VMs than tell each other all. */
+  /**
+   * Rounds after which a VM that joins a large fleet knows that there are more VMs than a mesh has.
+   */
   static final int FIRST_ROUNDS = 5;
 
-  /** VMs named in one message. */
+  /** Sightings of VMs in one message. */
   private static final int NAMED_VMS = 12;
 
-  /** Between two rounds in which VMs are named, while all are known. */
+  /** Interval between two rounds with sightings while there is no newcomer. */
   private static final long NAME_EVERY_MS = 500;
 
-  /** So long after a VM started, those it tells name others in each round, until it knows all. */
+  /**
+   * For this long after a VM started, the VMs that it sends to include sightings in each round, so
+   * that it gets to know all VMs.
+   */
   private static final long NEWCOMER_MS = 5_000;
 
   /**
-   * Counted by a VM that does not know the others yet: more than any fleet that is planned for, so
-   * that its share of what is divided is too small rather than too large.
+   * Number of VMs that is assumed while the others are not known yet. It is larger than any planned
+   * fleet, so that this VM's share of a divided quantity is too small rather than too large.
    */
   static final int UNKNOWN_VMS = 1_000;
 
-  /** A process counts up by one a round and starts at the time of day: this is another process. */
+  /**
+   * Gap between two sequence numbers that shows a restart: a process increments the number by one a
+   * round and starts at the wall-clock time in milliseconds.
+   */
   private static final long SEQUENCE_OF_ANOTHER_START = 100;
 
   private static final Load NOTHING = new Load(0, 0, 0, 0, 0);
@@ -104,10 +112,10 @@
     }
   }
 
-  /** A message that is due: to whom, and whose requests it counts. */
+  /** A message that is due: its receiver, and whose requests it counts. */
   public record Mail(String receiver, Kind kind) {}
 
-  /** Creates an empty view of a VM. */
+  /** Creates the view of the VM {@code self}, which knows no other VM. */
   public PeerLoads(Ticker ticker, Vm self) {
     this.ticker = ticker;
     this.self = self;
@@ -116,7 +124,7 @@
     this.createdAtMs = ticker.millis();
   }
 
-  /** Returns where this VM hears news. */
+  /** Returns the address at which this VM receives messages. */
   public String address() {
     return self.address();
   }
@@ -125,7 +133,7 @@
     return self;
   }
 
-  /** Adds VMs that may exist, for example from the settings; their data centre is not known. */
+  /** Adds VMs that may exist, for example from the settings; their data centres are not known. */
   public void introduce(List<String> addresses) {
     for (String address : addresses) {
       if (!address.equals(self.address())) {
@@ -135,31 +143,31 @@
   }
 
   /**
-   * Takes news; older ones than known of the same sender change nothing.
+   * Applies a message. A message that is older than the last one of the same sender is ignored.
    *
-   * @return true if they are the sender's latest
+   * @return true if the message is the sender's latest
    */
-  public boolean heard(LoadNews news) {
-    String sender = news.sender().address();
+  public boolean heard(LoadNews message) {
+    String sender = message.sender().address();
     if (sender.equals(self.address())) {
       return false;
     }
     long now = ticker.millis();
-    Peer peer = peers.computeIfAbsent(sender, name -> new Peer(news.sender()));
+    Peer peer = peers.computeIfAbsent(sender, name -> new Peer(message.sender()));
     boolean restarted = now - peer.heardAtMs > QUIET_MS;
-    if (news.sequence() <= peer.sequence && !restarted) {
+    if (message.sequence() <= peer.sequence && !restarted) {
       return false;
     }
-    if (restarted || news.sequence() - peer.sequence >= SEQUENCE_OF_ANOTHER_START) {
+    if (restarted || message.sequence() - peer.sequence >= SEQUENCE_OF_ANOTHER_START) {
       newcomerAtMs = now;
     }
-    peer.sequence = news.sequence();
+    peer.sequence = message.sequence();
     peer.heardAtMs = now;
     heardAnyone = true;
-    peer.kind = news.kind();
-    peer.loads = news.loads();
-    fleet.heard(news.sender(), now);
-    for (Sighting sighting : news.seen()) {
+    peer.kind = message.kind();
+    peer.loads = message.loads();
+    fleet.heard(message.sender(), now);
+    for (Sighting sighting : message.seen()) {
       if (!sighting.vm().address().equals(self.address())) {
         fleet.seen(sighting.vm(), now - sighting.agoMs());
       }
@@ -168,26 +176,26 @@
     return true;
   }
 
-  /** Starts a round: forgets what is old and returns the messages that are due in it. */
+  /** Starts a round: removes expired state and returns the messages that are due. */
   public List<Mail> nextRound() {
     long now = ticker.millis();
     round++;
     peers.values().removeIf(peer -> now - peer.heardAtMs > QUIET_MS * FRESH_ROUNDS);
     fleet.refresh(now);
     mostVms = Math.max(mostVms, fleet.size());
-    Map<String, Kind> mails = fleet.isMesh() ? meshMails(now) : hubMails(now);
+    Map<String, Kind> messages = fleet.isMesh() ? meshMails(now) : hubMails(now);
     outdated = true;
     nameSome(now);
     List<Mail> due = new ArrayList<>();
-    mails.forEach((receiver, kind) -> due.add(new Mail(receiver, kind)));
+    messages.forEach((receiver, kind) -> due.add(new Mail(receiver, kind)));
     return due;
   }
 
-  /** Chooses the VMs that are named in this round: others each time, and none in most rounds. */
+  /** Chooses the sightings of this round in rotation; most rounds have none. */
   private void nameSome(long now) {
     named = List.of();
-    boolean anyIsNew = now - newcomerAtMs <= NEWCOMER_MS;
-    if (!anyIsNew && now - namedAtMs < NAME_EVERY_MS) {
+    boolean hasNewcomer = now - newcomerAtMs <= NEWCOMER_MS;
+    if (!hasNewcomer && now - namedAtMs < NAME_EVERY_MS) {
       return;
     }
     namedAtMs = now;
@@ -197,10 +205,10 @@
 
   private Map<String, Kind> meshMails(long now) {
     isHub = false;
-    Map<String, Kind> mails = new LinkedHashMap<>();
+    Map<String, Kind> messages = new LinkedHashMap<>();
     if (round % QUIET_EVERY_ROUNDS == 1) {
       for (Vm vm : fleet.silentFor(QUIET_MS, now)) {
-        mails.put(vm.address(), Kind.OWN);
+        messages.put(vm.address(), Kind.OWN);
       }
     }
     List<Vm> active = new ArrayList<>(fleet.heardWithin(QUIET_MS, now));
@@ -208,44 +216,45 @@
     int size = active.size();
     int start = size <= PEERS_A_ROUND ? 0 : (int) (round * PEERS_A_ROUND % size);
     for (int i = 0; i < Math.min(size, PEERS_A_ROUND); i++) {
-      mails.put(active.get((start + i) % size).address(), Kind.OWN);
+      messages.put(active.get((start + i) % size).address(), Kind.OWN);
     }
-    return mails;
+    return messages;
   }
 
   private Map<String, Kind> hubMails(long now) {
-    Map<String, Kind> mails = new LinkedHashMap<>();
-    List<String> served = new ArrayList<>();
+    Map<String, Kind> messages = new LinkedHashMap<>();
+    List<String> reporting = new ArrayList<>();
     List<String> otherHubs = new ArrayList<>();
     for (Peer peer : peers.values()) {
       if (now - peer.heardAtMs > SERVED_MS) {
         continue;
       }
       if (peer.kind == Kind.OWN) {
-        served.add(peer.vm.address());
+        reporting.add(peer.vm.address());
       } else if (peer.kind == Kind.GROUP) {
         otherHubs.add(peer.vm.address());
       }
     }
     Set<String> hubs = fleet.hubs();
-    isHub = hubs.contains(self.address()) || !served.isEmpty();
+    isHub = hubs.contains(self.address()) || !reporting.isEmpty();
     if (!isHub) {
       String hub = fleet.ownHub();
-      mails.put(hub, Kind.OWN);
+      messages.put(hub, Kind.OWN);
       fleet.expect(Set.of(hub), now);
-      return mails;
+      return messages;
     }
-    served.forEach(vm -> mails.put(vm, Kind.ALL));
-    otherHubs.forEach(vm -> mails.put(vm, Kind.GROUP));
+    reporting.forEach(vm -> messages.put(vm, Kind.ALL));
+    otherHubs.forEach(vm -> messages.put(vm, Kind.GROUP));
     hubs.remove(self.address());
-    hubs.forEach(vm -> mails.put(vm, Kind.GROUP));
+    hubs.forEach(vm -> messages.put(vm, Kind.GROUP));
     fleet.expect(hubs, now);
-    return mails;
+    return messages;
   }
 
   /**
-   * Returns how many VMs there are at most, this one among them: the most that were known at once,
-   * since VMs that are cut off are still there, and very many while the others are not known.
+   * Returns an upper bound of the number of VMs, including this one. It is the highest number that
+   * was known at once, since partitioned VMs still run, and at least {@link #UNKNOWN_VMS} while the
+   * others are not known.
    */
   public int vmsAtMost() {
     boolean isNew = ticker.millis() - createdAtMs < NEWCOMER_MS;
@@ -253,48 +262,48 @@
     return isNew || isAlone ? Math.max(mostVms, UNKNOWN_VMS) : mostVms;
   }
 
-  /** Returns how many of the other VMs' loads are not known at the moment. */
+  /** Returns the number of other VMs whose load is currently unknown. */
   public int unheardVms() {
     long now = ticker.millis();
-    int heard = 0;
+    int reported = 0;
     for (Peer peer : peers.values()) {
       if (isFresh(peer, now)) {
         if (peer.kind != Kind.OWN || isHub) {
           return 0;
         }
-        heard++;
+        reported++;
       }
     }
-    return Math.max(0, mostVms - 1 - heard);
+    return Math.max(0, mostVms - 1 - reported);
   }
 
-  /** Returns true while the VMs are few enough to tell each other all. */
+  /** Returns true while the fleet is small enough for a full mesh. */
   public boolean isMesh() {
     return fleet.isMesh();
   }
 
   /**
-   * Returns true if this VM is to ask the stores of parts itself; not in its first rounds, in which
-   * it may not have heard yet who else there is.
+   * Returns true if this VM has to poll the part stores itself. It does not in its first rounds,
+   * when it may not know the other VMs yet.
    */
   public boolean asksStores() {
     return round > FIRST_ROUNDS && (fleet.isMesh() || fleet.isFirstHub());
   }
 
-  /** Returns true if other VMs rely on what this one asks of stores. */
+  /** Returns true if this VM is a hub, so that other VMs rely on its polls of part stores. */
   public boolean isHub() {
     return isHub;
   }
 
   /**
-   * Returns true if this VM is the one for a key, by rendezvous over those that were heard of
-   * lately. VMs that know others may both be, or none for a while.
+   * Returns true if this VM is responsible for a key, by rendezvous hashing over the recently
+   * active VMs. While the views of VMs differ, several VMs or none may be responsible.
    */
   public boolean isChosen(long key) {
     return fleet.isHeaviest(key, ticker.millis());
   }
 
-  /** Returns what a message of a kind says of loads, and notes what this VM tells of itself. */
+  /** Returns the loads for a message of a kind, and records the load that this VM reports. */
   List<Load> loadsFor(Kind kind, List<Load> own) {
     if (kind == Kind.OWN) {
       told = own;
@@ -313,7 +322,7 @@
     return List.copyOf(sum.values());
   }
 
-  /** Returns the VMs that were heard of lately and are named in this round. */
+  /** Returns the sightings of recently active VMs to send in this round. */
   List<Sighting> sightings() {
     return named;
   }
@@ -322,7 +331,7 @@
     return now - peer.heardAtMs <= freshMs();
   }
 
-  /** Returns true if what was told at a time is still used. */
+  /** Returns true if a report that arrived at a time is still used. */
   boolean isFresh(long heardAtMs) {
     return ticker.millis() - heardAtMs <= freshMs();
   }
@@ -332,7 +341,7 @@
     return FRESH_ROUNDS * ROUND_MS * turns;
   }
 
-  /** Returns what the other VMs have at a server or a store. */
+  /** Returns the load of the other VMs at a server or part store. */
   public Load others(long server) {
     if (outdated) {
       outdated = false;
@@ -341,7 +350,10 @@
     return totals.getOrDefault(server, NOTHING);
   }
 
-  /** A hub counts its VMs and other hubs' groups; a VM with a hub what that one tells of others. */
+  /**
+   * Sums the load of the other VMs: at a hub, of its VMs and of the groups of other hubs; at a VM
+   * with a hub, the latest total from the hub minus the load that this VM reported.
+   */
   private void addUp(long now) {
     Map<Long, Load> sum = new HashMap<>();
     Peer latest = null;
@@ -371,17 +383,17 @@
     }
   }
 
-  /** Returns the prompt tokens that a server has yet to read for other VMs. */
+  /** Returns the prompt tokens of other VMs that a server has yet to prefill. */
   public long pendingTokens(long server) {
     return others(server).pendingTokens();
   }
 
-  /** Returns the requests of other VMs that a server has. */
+  /** Returns the number of requests of other VMs in flight at a server. */
   public int running(long server) {
     return others(server).running();
   }
 
-  /** Returns how long moves of other VMs keep a server's or a store's link busy. */
+  /** Returns how long transfers of other VMs keep the link of a server or part store busy. */
   public long movingMs(long server) {
     return others(server).movingMs();
   }
@@ -391,7 +403,7 @@
     return others(server).heldTokens();
   }
 
-  /** Returns the requests that other VMs sent lately to a server with a limit. */
+  /** Returns the number of requests that other VMs sent recently to a server with a rate limit. */
   public int limitedSends(long server) {
     return others(server).limitedSends();
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/RestNews.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/RestNews.java
@@ -16,10 +16,10 @@
 package org.landingtrack.internal.loads;
 
 /**
- * A backend server asked a VM for rest.
+ * Reports that a backend server asked a VM for a backoff.
  *
- * @param server hash of the server's start
- * @param leftMs how much longer the rest lasts
- * @param agoMs how long ago the server asked for it
+ * @param server hash of the server's incarnation
+ * @param leftMs remaining time of the backoff in milliseconds
+ * @param agoMs milliseconds since the server asked for it
  */
 public record RestNews(long server, long leftMs, long agoMs) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/StoreNews.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/StoreNews.java
@@ -18,14 +18,14 @@
 import java.util.List;
 
 /**
- * What a store of prompt parts answered, handed on by a VM that asked it.
+ * Answer of a part store, forwarded by a VM that polled the store.
  *
- * @param address the store
- * @param epoch differs from start to start of the store
+ * @param address address of the store
+ * @param epoch identifies the store's incarnation
  * @param serversMs when the store answered, on the clock that all backend servers share
- * @param from changes up to this number are not told here
- * @param next the number of the last change that the store had
- * @param changes changes between the two, some of them may be missing
+ * @param from number of the change after which this report begins
+ * @param next number of the store's last change
+ * @param changes changes after {@code from} up to {@code next}; some may be missing
  */
 public record StoreNews(
     String address, long epoch, long serversMs, long from, long next, List<Change> changes) {
@@ -34,9 +34,11 @@
   }
 
   /**
-   * A part that became whole in a store, or went.
+   * A part that a store finished storing, or removed.
    *
+   * @param kept true if the part is now stored, false if it was removed
    * @param key scope and part
+   * @param tokens length of the part in tokens
    */
   public record Change(boolean kept, String key, int tokens) {}
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/Tally.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/Tally.java
@@ -18,8 +18,8 @@
 import java.util.Arrays;
 
 /**
- * What is counted of one key of a topic, by one VM or summed up over several. Immutable; VMs of
- * different releases may count differently many things, and what one does not count is 0.
+ * Counters of one key of a topic, of one VM or summed over several. Immutable. VMs of different
+ * releases may send different numbers of counters; a missing counter is 0.
  */
 public final class Tally {
   private static final long[] NOTHING = {};
@@ -27,28 +27,28 @@
   private final long key;
   private final long[] counts;
 
-  /** Creates a tally; {@code counts} are what the topic says, none of them below 0. */
+  /** Creates a tally; the topic defines the meaning of {@code counts}, none of them below 0. */
   public Tally(long key, long... counts) {
     this.key = key;
     this.counts = counts.clone();
   }
 
-  /** Returns a tally of nothing. */
+  /** Returns a tally without counters. */
   static Tally nothing(long key) {
     return new Tally(key, NOTHING);
   }
 
-  /** Returns what is counted, usually a hash of its name. */
+  /** Returns the key, usually the hash of a name. */
   public long key() {
     return key;
   }
 
-  /** Returns how many things are counted. */
+  /** Returns the number of counters. */
   int size() {
     return counts.length;
   }
 
-  /** Returns one of the counts; 0 if it is not counted. */
+  /** Returns one of the counters; 0 if it is missing. */
   public long count(int index) {
     return index < counts.length ? counts[index] : 0;
   }
@@ -62,13 +62,13 @@
     return new Tally(key, sum);
   }
 
-  /** Returns this tally without another one, and never less than nothing. */
+  /** Returns this tally minus another one, with no counter below 0. */
   Tally without(Tally other) {
-    long[] rest = new long[counts.length];
-    for (int i = 0; i < rest.length; i++) {
-      rest[i] = Math.max(0, counts[i] - other.count(i));
+    long[] difference = new long[counts.length];
+    for (int i = 0; i < difference.length; i++) {
+      difference[i] = Math.max(0, counts[i] - other.count(i));
     }
-    return new Tally(key, rest);
+    return new Tally(key, difference);
   }
 
   @Override
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/TallyNews.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/TallyNews.java
@@ -17,7 +17,7 @@
 
 import java.util.List;
 
-/** What a message says of one topic. */
+/** Tallies of one topic in a gossip message. */
 public record TallyNews(TallyTopic topic, List<Tally> tallies) {
   public TallyNews {
     tallies = List.copyOf(tallies);
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/TallyTopic.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/TallyTopic.java
@@ -17,15 +17,15 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** What VMs count for each other. A VM passes over topics that it does not know. */
+/** Topics of the counters that VMs share. A VM ignores topics that it does not know. */
 public enum TallyTopic {
-  /** Demand and room of a service; {@link Tally#key} is the hash of its name. */
+  /** Demand and capacity of a service; {@link Tally#key} is the hash of its name. */
   SERVICES(1, 64),
-  /** Outcomes of requests at a backend server; the key is the hash of its start. */
+  /** Outcomes of requests at a backend server; the key is the hash of its incarnation. */
   SERVERS(2, 128),
   /** Requests and retries of a service; the key is the hash of its name. */
   RETRIES(4, 64),
-  /** Starts of backend servers that are over; the key is the hash of the start. */
+  /** Ended incarnations of backend servers; the key is the hash of the incarnation. */
   ENDED_STARTS(5, 128);
 
   private final int code;
@@ -36,17 +36,20 @@
     this.mostKeys = mostKeys;
   }
 
-  /** Returns what stands for the topic in a message. */
+  /** Returns the number of the topic in messages. */
   int code() {
     return code;
   }
 
-  /** Returns of how many keys one message tells at most; those with the largest first count. */
+  /**
+   * Returns the largest number of keys in one message; the keys with the largest first counters are
+   * sent.
+   */
   int mostKeys() {
     return mostKeys;
   }
 
-  /** Returns the topic of a code, or null for one of another release. */
+  /** Returns the topic with a code, or null if this release does not know it. */
   static @Nullable TallyTopic of(int code) {
     for (TallyTopic topic : values()) {
       if (topic.code == code) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/package-info.java
@@ -14,8 +14,9 @@
  * limitations under the License.
  */
 /**
- * Tells the VMs before the same backend servers what each has under way there, by datagrams between
- * them. All of it is a hint: without it a VM goes by what it sends itself.
+ * Exchange of load reports and other gossip messages, in UDP datagrams, between the VMs that send
+ * to the same backend servers. All data is a hint: without it a VM relies on the load that it sends
+ * itself.
  */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.loads;
--- a/landingtrack/src/test/java/org/landingtrack/internal/loads/FleetTalliesTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/loads/FleetTalliesTest.java
@@ -29,7 +29,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What VMs count is summed up over all of them, however the news go. */
+/** Tests that counters are summed over all VMs, in a mesh and through hubs. */
 public final class FleetTalliesTest {
   private static final long KEY = 42;
   private static final long ROUNDS_TO_KNOW = 100;
@@ -40,7 +40,7 @@
   private final Map<String, CountingVm> vms = new HashMap<>();
   private final Set<String> cut = new HashSet<>();
 
-  /** A VM that counts. */
+  /** A VM that reports counters. */
   private final class CountingVm {
     private final PeerLoads peers;
     private final NewsOfVm news;
@@ -54,13 +54,13 @@
     }
 
     void tell() {
-      for (PeerLoads.Mail mail : peers.nextRound()) {
+      for (PeerLoads.Mail due : peers.nextRound()) {
         List<FleetTallies> topics = List.of(tallies);
-        LoadNews told = news.next(mail.kind(), List.of(), List.of(), List.of(), topics);
-        CountingVm receiver = vms.get(mail.receiver());
-        boolean arrives = !cut.contains(mail.receiver()) && !cut.contains(peers.address());
-        if (receiver != null && arrives && receiver.peers.heard(told)) {
-          FleetTallies.heard(told, List.of(receiver.tallies));
+        LoadNews message = news.next(due.kind(), List.of(), List.of(), List.of(), topics);
+        CountingVm receiver = vms.get(due.receiver());
+        boolean isDelivered = !cut.contains(due.receiver()) && !cut.contains(peers.address());
+        if (receiver != null && isDelivered && receiver.peers.heard(message)) {
+          FleetTallies.heard(message, List.of(receiver.tallies));
         }
       }
     }
@@ -119,10 +119,10 @@
     fleet(size);
     vms.values().forEach(vm -> vm.own = List.of(new Tally(KEY, 3)));
     rounds(ROUNDS_TO_KNOW);
-    CountingVm alone = vms.values().iterator().next();
-    cut.add(alone.peers.address());
+    CountingVm isolated = vms.values().iterator().next();
+    cut.add(isolated.peers.address());
     rounds(10);
-    assertEquals(alone.tallies.others(KEY).count(0), 0);
+    assertEquals(isolated.tallies.others(KEY).count(0), 0);
   }
 
   @Test
--- a/landingtrack/src/test/java/org/landingtrack/internal/loads/FleetTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/loads/FleetTest.java
@@ -34,7 +34,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Many VMs that tell each other their loads, by messages that may be lost. */
+/** Tests large fleets of VMs that exchange load reports, also with message loss. */
 public final class FleetTest {
   private static final long SERVER = 42;
   private static final int SETTLE_ROUNDS = 130;
@@ -91,9 +91,9 @@
   private void tell(Member member) {
     List<Load> own = List.of(new Load(SERVER, 10, 1, 0, 0));
     member.sequence++;
-    for (Mail mail : member.loads.nextRound()) {
+    for (Mail due : member.loads.nextRound()) {
       messages++;
-      Member receiver = members.get(mail.receiver());
+      Member receiver = members.get(due.receiver());
       if (receiver == null || !receiver.alive || random.nextDouble() < lossShare) {
         continue;
       }
@@ -102,9 +102,9 @@
           new LoadNews(
               member.vm,
               member.sequence,
-              mail.kind(),
+              due.kind(),
               member.loads.sightings(),
-              member.loads.loadsFor(mail.kind(), own),
+              member.loads.loadsFor(due.kind(), own),
               List.of()));
     }
   }
@@ -113,7 +113,7 @@
     return members.values().stream().filter(member -> member.alive).count();
   }
 
-  /** VMs and data centres. */
+  /** Returns numbers of VMs and data centres. */
   @DataProvider
   public Object[][] sizes() {
     return new Object[][] {{7, 3}, {12, 3}, {13, 3}, {30, 1}, {59, 3}, {91, 4}, {200, 3}};
@@ -128,12 +128,13 @@
       assertEquals(member.loads.pendingTokens(SERVER), 10L * (count - 1));
     }
     if (count > Fleet.MESH_VMS) {
-      assertTrue(hubsAreStrong(), "a weak VM is a hub");
+      assertTrue(hubsAreStrong(), "a VM of low strength is a hub");
     }
-    assertTrue(messages <= count * (count <= Fleet.MESH_VMS ? 8 : 5), "a round: " + messages);
+    assertTrue(
+        messages <= count * (count <= Fleet.MESH_VMS ? 8 : 5), "messages in a round: " + messages);
     assertTrue(
         count <= Fleet.MESH_VMS || acrossDataCentres <= 4 * count,
-        "between data centres: " + acrossDataCentres);
+        "messages between data centres: " + acrossDataCentres);
   }
 
   private boolean hubsAreStrong() {
@@ -145,26 +146,27 @@
     return true;
   }
 
-  /** At most a dozen VMs ask a store at once, and in each data centre one does. */
+  /** At most a dozen VMs poll a part store at once, and at least one in each data centre does. */
   @Test(dataProvider = "sizes")
   public void aFewVmsAskStores(int count, int dataCentres) {
     start(count, dataCentres);
     rounds(SETTLE_ROUNDS);
     Set<String> served = new HashSet<>();
-    int asking = 0;
+    int polling = 0;
     for (Member member : members.values()) {
       if (member.loads.asksStores()) {
-        asking++;
+        polling++;
         served.add(member.vm.dataCentre());
       }
     }
-    assertTrue(asking <= Fleet.MESH_VMS, "ask: " + asking);
+    assertTrue(polling <= Fleet.MESH_VMS, "polling VMs: " + polling);
     assertEquals(served.size(), dataCentres);
   }
 
   /**
-   * A VM that started in a large fleet took itself for one of a few VMs until it had heard more:
-   * each start opened a connection and a thread for each store, to close them half a second later.
+   * A VM that starts in a large fleet must not poll part stores before it knows the other VMs.
+   * Otherwise it takes the fleet for a small one, opens a connection and a thread for each store
+   * and closes them half a second later.
    */
   @Test
   public void aVmThatJoinsALargeFleetLeavesTheStoresToItsHub() {
@@ -180,7 +182,7 @@
     }
   }
 
-  /** Without news of others nobody else asks. */
+  /** A VM that receives no messages of others polls the stores itself. */
   @Test
   public void aVmAloneAsksStoresSoon() {
     start(1, 1);
@@ -188,7 +190,7 @@
     assertTrue(members.get("vm-0").loads.asksStores());
   }
 
-  /** All hubs die at once; after a second and a half the others have found new ones. */
+  /** All hubs fail at once; after 1.5 s the other VMs have chosen new ones. */
   @Test
   public void deadHubsAreReplaced() {
     start(59, 3);
@@ -215,19 +217,19 @@
     rounds(SETTLE_ROUNDS);
     lossShare = 0.05;
     long sum = 0;
-    int looks = 0;
+    int samples = 0;
     for (int i = 0; i < 50; i++) {
       rounds(1);
       for (Member member : members.values()) {
         sum += member.loads.running(SERVER);
-        looks++;
+        samples++;
       }
     }
-    double mean = (double) sum / looks;
+    double mean = (double) sum / samples;
     assertTrue(mean > 0.95 * 58 && mean < 1.05 * 58, "mean of 58: " + mean);
   }
 
-  /** A VM that starts anew at another address knows only the seeds, of which one is dead. */
+  /** A VM that starts at a new address knows only the seeds, one of which is down. */
   @Test
   public void aNewVmFindsItsHub() {
     start(59, 3);
--- a/landingtrack/src/test/java/org/landingtrack/internal/loads/LoadExchangeTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/loads/LoadExchangeTest.java
@@ -33,7 +33,7 @@
 import org.landingtrack.internal.quarantine.Quarantine;
 import org.testng.annotations.Test;
 
-/** News over real datagrams. */
+/** Tests the exchange of load messages over real UDP sockets. */
 public final class LoadExchangeTest {
   private static final long LONGEST_S = 20;
   private static final long PAUSE_MS = 5;
@@ -49,7 +49,7 @@
         public void nextRound() {}
 
         @Override
-        public void heard(StoreNews news) {}
+        public void heard(StoreNews report) {}
       };
 
   private static final LoadExchange.FeedNewsExchange NO_FEEDS =
@@ -60,7 +60,7 @@
         }
 
         @Override
-        public void heard(String hub, List<FeedNews> news) {}
+        public void heard(String hub, List<FeedNews> reports) {}
       };
 
   private static <N> LoadExchange.Board<N> nothing() {
@@ -71,7 +71,7 @@
       }
 
       @Override
-      public void heard(List<N> news) {}
+      public void heard(List<N> reports) {}
     };
   }
 
@@ -90,7 +90,10 @@
     return exchange;
   }
 
-  /** A closed socket keeps its address until the thread that heard at it is gone. */
+  /**
+   * Binds an exchange, with retries: a closed socket keeps its address until the thread that
+   * received from it ends.
+   */
   private LoadExchange bind(PeerLoads peers, Supplier<List<Load>> own) throws Exception {
     long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONGEST_S);
     while (true) {
@@ -120,7 +123,7 @@
     }
   }
 
-  private boolean isToldSoon(LoadExchange sender, PeerLoads hearer, int running)
+  private boolean isToldSoon(LoadExchange sender, PeerLoads receiver, int running)
       throws InterruptedException {
     long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONGEST_S);
     while (System.nanoTime() < endNs) {
@@ -129,7 +132,7 @@
       }
       TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
       synchronized (loop) {
-        if (hearer.running(SERVER) == running) {
+        if (receiver.running(SERVER) == running) {
           return true;
         }
       }
@@ -138,7 +141,8 @@
   }
 
   /**
-   * Which servers were told of was chance, so that some engines seemed idle to all VMs for ever.
+   * A message that has no room for all servers has to report those with the most load. If the
+   * choice is arbitrary, some loaded engines seem idle to all VMs permanently.
    */
   @Test
   public void whereNotAllFitsTheHeaviestAreTold() {
@@ -147,36 +151,38 @@
     for (int i = 0; i < count; i++) {
       loads.add(new Load(i, 100L * (i % 3), 1, 0, 50L * i));
     }
-    List<Load> told = LoadExchange.heaviest(loads);
-    assertEquals(told.size(), LoadExchange.MAX_LOADS);
-    for (Load load : told) {
+    List<Load> reported = LoadExchange.heaviest(loads);
+    assertEquals(reported.size(), LoadExchange.MAX_LOADS);
+    for (Load load : reported) {
       assertTrue(load.server() >= count - LoadExchange.MAX_LOADS - 4, load.toString());
     }
     List<Load> few = loads.subList(0, 10);
     assertEquals(LoadExchange.heaviest(few), few);
   }
 
-  /** A process that starts again is believed at once, not only when its old news are forgotten. */
+  /**
+   * Reports of a restarted process are used at once, not only when its old reports have expired.
+   */
   @Test
   public void aProcessThatStartsAgainIsHeardAtOnce() throws Exception {
     ticker.pass(100_000);
     Vm first = vm();
     Vm second = vm();
-    PeerLoads hearer = new PeerLoads(ticker, first);
-    try (LoadExchange hearing = exchange(hearer, 0)) {
-      PeerLoads before = new PeerLoads(ticker, second);
-      before.introduce(List.of(first.address()));
-      try (LoadExchange sender = exchange(before, 7)) {
-        assertTrue(isToldSoon(sender, hearer, 7));
+    PeerLoads receiver = new PeerLoads(ticker, first);
+    try (LoadExchange receiving = exchange(receiver, 0)) {
+      PeerLoads previous = new PeerLoads(ticker, second);
+      previous.introduce(List.of(first.address()));
+      try (LoadExchange sender = exchange(previous, 7)) {
+        assertTrue(isToldSoon(sender, receiver, 7));
       }
-      PeerLoads after = new PeerLoads(ticker, second);
-      after.introduce(List.of(first.address()));
-      try (LoadExchange sender = exchange(after, 3)) {
+      PeerLoads restarted = new PeerLoads(ticker, second);
+      restarted.introduce(List.of(first.address()));
+      try (LoadExchange sender = exchange(restarted, 3)) {
         synchronized (loop) {
           sender.tell();
         }
-        // One message only: later ones would pass the numbers of the process before.
-        assertTrue(isToldSoon(hearing, hearer, 3));
+        // One message only: later ones would exceed the sequence numbers of the previous process.
+        assertTrue(isToldSoon(receiving, receiver, 3));
       }
     }
   }
--- a/landingtrack/src/test/java/org/landingtrack/internal/loads/LoadNewsCodecTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/loads/LoadNewsCodecTest.java
@@ -34,7 +34,7 @@
 import org.landingtrack.internal.quarantine.SuspectNews;
 import org.testng.annotations.Test;
 
-/** News are read as they were written, and bytes that are none are refused. */
+/** Tests that messages are decoded as encoded, and that invalid bytes are rejected. */
 public final class LoadNewsCodecTest {
   private static final long SEED = 11;
   private static final int ROUNDS = 20_000;
@@ -79,7 +79,7 @@
     assertEquals(LoadNewsCodec.decode(buffer, bytes.length), NEWS);
   }
 
-  /** Processes of the release before wrote the same arrays by another library. */
+  /** The previous release encodes the same arrays with another library. */
   @Test
   public void theFormIsThatOfArraysWithoutNames() throws IOException {
     List<?> fields = MessagePack.MAPPER.readValue(LoadNewsCodec.encode(NEWS), List.class);
@@ -88,23 +88,23 @@
     assertEquals(decode(MessagePack.MAPPER.writeValueAsBytes(fields)), NEWS);
   }
 
-  /** While a fleet is upgraded, its VMs go on hearing each other's loads. */
+  /** VMs of two releases exchange loads during an upgrade, so older messages stay readable. */
   @Test
   public void newsOfTheReleaseBeforeAreRead() throws IOException {
     List<?> fields = MessagePack.MAPPER.readValue(LoadNewsCodec.encode(NEWS), List.class);
-    List<Object> before = new ArrayList<>(fields.subList(0, fields.size() - 3));
-    before.set(4, List.of(List.of(-42, 9_000, 3, 17, 12_000)));
-    LoadNews read = decode(MessagePack.MAPPER.writeValueAsBytes(before));
+    List<Object> previous = new ArrayList<>(fields.subList(0, fields.size() - 3));
+    previous.set(4, List.of(List.of(-42, 9_000, 3, 17, 12_000)));
+    LoadNews read = decode(MessagePack.MAPPER.writeValueAsBytes(previous));
     assertEquals(read.loads(), List.of(new Load(-42, 9_000, 3, 17, 12_000)));
     assertEquals(read.suspects(), NEWS.suspects());
     assertEquals(read.limits(), List.of());
     assertEquals(read.rests(), List.of());
     assertEquals(read.tallies(), List.of());
-    before.addAll(fields.subList(fields.size() - 3, fields.size() - 1));
-    assertEquals(decode(MessagePack.MAPPER.writeValueAsBytes(before)).rests(), NEWS.rests());
+    previous.addAll(fields.subList(fields.size() - 3, fields.size() - 1));
+    assertEquals(decode(MessagePack.MAPPER.writeValueAsBytes(previous)).rests(), NEWS.rests());
   }
 
-  /** VMs of a later release say more, and count what this one does not know. */
+  /** Messages of a later release have further fields and unknown topics, which are ignored. */
   @Test
   public void newsOfALaterReleaseAreRead() throws IOException {
     List<?> fields = MessagePack.MAPPER.readValue(LoadNewsCodec.encode(NEWS), List.class);
@@ -119,17 +119,17 @@
   @Test
   public void bytesThatAreNoNewsAreRefused() throws IOException {
     Random random = new Random(SEED);
-    byte[] good = LoadNewsCodec.encode(NEWS);
-    int refused = 0;
+    byte[] valid = LoadNewsCodec.encode(NEWS);
+    int rejected = 0;
     for (int round = 0; round < ROUNDS; round++) {
-      byte[] bytes = Arrays.copyOf(good, 1 + random.nextInt(good.length));
+      byte[] bytes = Arrays.copyOf(valid, 1 + random.nextInt(valid.length));
       bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
       try {
         assertNotNull(decode(bytes));
       } catch (IOException e) {
-        refused++;
+        rejected++;
       }
     }
-    assertTrue(refused > ROUNDS / 2, "refused " + refused);
+    assertTrue(rejected > ROUNDS / 2, "rejected messages: " + rejected);
   }
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/loads/NewsOfVm.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/loads/NewsOfVm.java
@@ -20,29 +20,29 @@
 import org.landingtrack.internal.loads.LoadNews.Kind;
 import org.landingtrack.internal.loads.LoadNews.Load;
 
-/** Messages of one VM as they go over the wire, for tests of whole fleets without sockets. */
+/** Creates the encoded and decoded messages of one VM, for tests of fleets without sockets. */
 public final class NewsOfVm {
   private final PeerLoads peers;
   private long sequence = 1;
 
-  /** Creates messages of a VM. */
+  /** Creates a source of messages of a VM. */
   public NewsOfVm(PeerLoads peers) {
     this.peers = peers;
   }
 
-  /** Returns what another VM reads of what this one tells now. */
+  /** Returns the next message of this VM, without tallies, as another VM decodes it. */
   public LoadNews next(Kind kind, List<Load> own, List<LimitNews> limits, List<RestNews> rests) {
     return next(kind, own, limits, rests, List.of());
   }
 
-  /** Returns the same with what the VMs count. */
+  /** Returns the next message of this VM, with tallies, as another VM decodes it. */
   public LoadNews next(
       Kind kind,
       List<Load> own,
       List<LimitNews> limits,
       List<RestNews> rests,
       List<FleetTallies> tallies) {
-    LoadNews news =
+    LoadNews message =
         new LoadNews(
             peers.self(),
             sequence++,
@@ -56,10 +56,10 @@
             rests,
             FleetTallies.news(kind, tallies));
     try {
-      byte[] bytes = LoadNewsCodec.encode(news);
+      byte[] bytes = LoadNewsCodec.encode(message);
       return LoadNewsCodec.decode(bytes, bytes.length);
     } catch (IOException e) {
-      throw new IllegalStateException("news cannot be read", e);
+      throw new IllegalStateException("the message cannot be encoded or decoded", e);
     }
   }
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/loads/PeerLoadsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/loads/PeerLoadsTest.java
@@ -60,9 +60,9 @@
         List.of());
   }
 
-  private static Set<String> receivers(List<Mail> mails) {
+  private static Set<String> receivers(List<Mail> messages) {
     Set<String> receivers = new HashSet<>();
-    mails.forEach(mail -> receivers.add(mail.receiver()));
+    messages.forEach(due -> receivers.add(due.receiver()));
     return receivers;
   }
 
@@ -106,26 +106,27 @@
     List<Sighting> seen =
         List.of(new Sighting(new Vm("other", "dc-2", 36), 300), new Sighting(SELF, 10));
     peers.heard(new LoadNews(new Vm("seed", "dc-1", 36), 1, Kind.OWN, seen, List.of(), List.of()));
-    Set<String> told = new HashSet<>();
+    Set<String> receivers = new HashSet<>();
     for (int i = 0; i < 20; i++) {
-      told.addAll(receivers(peers.nextRound()));
+      receivers.addAll(receivers(peers.nextRound()));
     }
-    assertEquals(told, Set.of("seed", "other"));
+    assertEquals(receivers, Set.of("seed", "other"));
     assertEquals(peers.sightings().size(), 2);
   }
 
-  /** A VM that nobody hears of any more is named no more, however often others named it before. */
+  /** A VM that is down is no longer reported, however often other VMs reported it before. */
   @Test
   public void aDeadVmIsForgotten() {
-    Vm dead = new Vm("dead", "dc-1", 36);
+    Vm down = new Vm("dead", "dc-1", 36);
     for (int second = 0; second < 70; second++) {
-      List<Sighting> seen = List.of(new Sighting(dead, 1_000L * second));
+      List<Sighting> seen = List.of(new Sighting(down, 1_000L * second));
       peers.heard(
           new LoadNews(
               new Vm("other", "dc-1", 36), second + 1, Kind.OWN, seen, List.of(), List.of()));
-      Set<String> told = receivers(peers.nextRound());
-      assertEquals(peers.sightings().stream().anyMatch(s -> s.vm().equals(dead)), second <= 20);
-      assertTrue(second <= 60 || !told.contains("dead"), "told after " + second);
+      Set<String> receivers = receivers(peers.nextRound());
+      assertEquals(peers.sightings().stream().anyMatch(s -> s.vm().equals(down)), second <= 20);
+      assertTrue(
+          second <= 60 || !receivers.contains("dead"), "a message is sent after s: " + second);
       ticker.pass(1_000);
     }
   }
--- a/landingtrack/src/test/java/org/landingtrack/internal/loads/TalliedVm.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/loads/TalliedVm.java
@@ -22,7 +22,7 @@
 import org.landingtrack.internal.loads.LoadNews.Vm;
 import org.landingtrack.internal.serving.ManualLoop;
 
-/** A VM that counts something together with others, on one clock and without sockets. */
+/** Simulated VM that shares counters with others, on one clock and without sockets. */
 public final class TalliedVm {
   private static final double NEWS_LOST = 0.02;
   private static final long MOST_WAY_MS = 6;
@@ -36,7 +36,7 @@
   private int side;
   private long stillUntilMs;
 
-  /** Creates a VM that knows no others. */
+  /** Creates a VM that knows no other VMs. */
   public TalliedVm(ManualLoop loop, int number) {
     this.loop = loop;
     this.address = "10.0." + (1 + number / 200) + "." + (1 + number % 200) + ":70";
@@ -44,7 +44,7 @@
     this.news = new NewsOfVm(peers);
   }
 
-  /** All that it knew is lost. */
+  /** Restarts the VM, which loses all its state. */
   public void restart(List<TalliedVm> all) {
     peers = new PeerLoads(loop, new Vm(address, "dc-1", 0));
     news = new NewsOfVm(peers);
@@ -52,7 +52,7 @@
     introduce(all);
   }
 
-  /** Tells it of others. */
+  /** Adds other VMs to those that this one knows. */
   public void introduce(List<TalliedVm> all) {
     peers.introduce(all.stream().map(vm -> vm.address).toList());
   }
@@ -61,62 +61,65 @@
     return peers;
   }
 
-  /** Begins to count. */
+  /** Begins to share the counters of a topic. */
   public FleetTallies tally(TallyTopic topic, Supplier<List<Tally>> own) {
-    FleetTallies sums = new FleetTallies(peers, loop, topic, own);
-    tallies.add(sums);
-    return sums;
+    FleetTallies fleetTallies = new FleetTallies(peers, loop, topic, own);
+    tallies.add(fleetTallies);
+    return fleetTallies;
   }
 
-  /** It hears only VMs of the same side and they only it; side 0 is alone. */
+  /**
+   * Partitions this VM for a time: it exchanges messages only with VMs of the same side, and with
+   * none if the side is 0.
+   */
   public void cut(long forMs, int ofSide) {
     cutUntilMs = loop.millis() + forMs;
     side = ofSide;
   }
 
-  /** It does nothing; what comes meanwhile is read when it wakes. */
+  /** Suspends this VM for a time; messages that arrive meanwhile are received afterwards. */
   public void standStill(long forMs) {
     stillUntilMs = loop.millis() + forMs;
   }
 
-  /** Returns how long it still does nothing. */
+  /** Returns the remaining time of the suspension. */
   public long stillMs() {
     return Math.max(0, stillUntilMs - loop.millis());
   }
 
   private boolean hears(TalliedVm other) {
-    boolean isCut = loop.millis() < Math.max(cutUntilMs, other.cutUntilMs);
-    return !isCut || (side != 0 && side == other.side);
+    boolean isPartitioned = loop.millis() < Math.max(cutUntilMs, other.cutUntilMs);
+    return !isPartitioned || (side != 0 && side == other.side);
   }
 
-  /** Has VMs tell each other from now on. */
+  /** Starts the periodic exchange of messages between VMs. */
   public static void exchangeNews(ManualLoop loop, List<TalliedVm> vms, Random random) {
     loop.schedule(PeerLoads.ROUND_MS, () -> exchangeNews(loop, vms, random));
     for (TalliedVm vm : vms) {
       if (vm.stillMs() > 0) {
         continue;
       }
-      for (PeerLoads.Mail mail : vm.peers.nextRound()) {
-        LoadNews told =
-            vm.news.next(mail.kind(), List.of(), List.of(), List.of(), List.copyOf(vm.tallies));
+      for (PeerLoads.Mail due : vm.peers.nextRound()) {
+        LoadNews message =
+            vm.news.next(due.kind(), List.of(), List.of(), List.of(), List.copyOf(vm.tallies));
         for (TalliedVm other : vms) {
-          if (other.address.equals(mail.receiver())) {
-            other.receive(vm, told, random);
+          if (other.address.equals(due.receiver())) {
+            other.receive(vm, message, random);
           }
         }
       }
     }
   }
 
-  private void receive(TalliedVm sender, LoadNews told, Random random) {
+  private void receive(TalliedVm sender, LoadNews message, Random random) {
     if (!hears(sender) || random.nextDouble() < NEWS_LOST) {
       return;
     }
     loop.schedule(
         1 + random.nextLong(MOST_WAY_MS - 1) + stillMs(),
         () -> {
-          if (peers.heard(told)) {
-            FleetTallies.heard(told, tallies);
+          if (peers.heard(message)) {
+            FleetTallies.heard(message, tallies);
           }
         });
   }
