--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/EarlyReturns.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/EarlyReturns.java
@@ -20,26 +20,31 @@
 import java.util.Map;
 
 /**
- * Knows refused requests again that come back before their time. Answers the load of callers that
- * repeat at once and often: what it costs to decide about the same request again and again is kept
- * for others. What is the same request of another caller would be decided likewise, until one of
- * them is served. Bounded; empty while nobody is refused.
+ * Recognizes refused requests that are retried before their retry time. Guards against callers that
+ * retry at once and often: without it, planning the same request again and again would take the
+ * processor time of other requests. The same request of another caller gets the same decision,
+ * until one of the two is served. Bounded; empty while no request is refused.
  */
 public final class EarlyReturns {
   private static final int MOST = 1_024;
 
-  /** Callers heed a time to wait only up to this part of what they have left. */
+  /** Callers honour a retry time only up to their remaining time divided by this. */
   private static final int HEEDED_PARTS = 3;
 
-  /** Callers' timers and ways differ; nobody is early by less than the rest of it. */
+  /**
+   * Share of the retry time after which a retry no longer counts as early, since the timers and the
+   * network latency of callers vary.
+   */
   private static final double EARLY_SHARE = 0.8;
 
-  /** One early return may be a caller's second thought; more are a habit. */
+  /**
+   * Early retries that are planned as usual; a single one may be accidental, further ones are not.
+   */
   private static final int ALLOWED = 1;
 
   private final Map<Long, Refused> refused = new LinkedHashMap<>();
 
-  /** A request that was refused and may come back. */
+  /** A request that was refused and may be retried. */
   private static final class Refused {
     private final long untilMs;
     private int returns;
@@ -49,26 +54,26 @@
     }
   }
 
-  /** Returns true if no refused request is known. */
+  /** Returns true if no refused request is recorded. */
   public boolean isEmpty() {
     return refused.isEmpty();
   }
 
-  /** Returns how many refused requests are known. */
+  /** Returns the number of recorded refused requests. */
   public int size() {
     return refused.size();
   }
 
   /**
-   * Notes a refusal. One that is known already keeps its time, so that nobody who returns early is
-   * sent away for longer.
+   * Records a refusal. A request that is recorded already keeps its retry time, so that an early
+   * retry does not prolong it.
    *
-   * @param request what the request has in common with its caller's next try
-   * @param leftMs what the caller has left of its time
+   * @param request key of the request, the same for all retries of its caller
+   * @param remainingMs remaining time of the caller
    */
-  public void refused(long request, long retryAfterMs, long leftMs, long nowMs) {
+  public void refused(long request, long retryAfterMs, long remainingMs, long nowMs) {
     dropOver(nowMs);
-    long waitMs = Math.min(retryAfterMs, Math.max(0, leftMs) / HEEDED_PARTS);
+    long waitMs = Math.min(retryAfterMs, Math.max(0, remainingMs) / HEEDED_PARTS);
     long untilMs = nowMs + (long) (waitMs * EARLY_SHARE);
     if (untilMs <= nowMs) {
       return;
@@ -82,10 +87,10 @@
   }
 
   /**
-   * Returns for how long a request is still to wait, if it is to be refused again without a plan; 0
-   * if it is to be planned as any other.
+   * Returns the remaining time to the retry time if the request has to be refused again without
+   * planning it; 0 if it is to be planned as usual.
    *
-   * @param busy true if this VM has no time to plan for those that are early
+   * @param busy true if this VM has no time to plan early retries
    */
   public long earlyMs(long request, boolean busy, long nowMs) {
     Refused known = refused.get(request);
@@ -100,12 +105,15 @@
     return busy || known.returns > ALLOWED ? known.untilMs - nowMs : 0;
   }
 
-  /** Forgets a request, because there is room for it now. */
+  /** Removes a request because there is capacity for it now. */
   public void forget(long request) {
     refused.remove(request);
   }
 
-  /** Times differ, so some that are over may stay behind one that is not, up to the bound. */
+  /**
+   * Removes expired requests at the head of the insertion order. Retry times differ, so some
+   * expired requests may stay behind one that has not expired, up to the bound.
+   */
   private void dropOver(long nowMs) {
     Iterator<Refused> oldest = refused.values().iterator();
     while (oldest.hasNext() && oldest.next().untilMs <= nowMs) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/HeldBytes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/HeldBytes.java
@@ -25,24 +25,30 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Account of the bytes that a VM holds for callers and servers. Answers the load of many callers
- * that read slowly or not at all: each may have its share, and all together stay within a bound
- * that the VM's memory bears. The marks leave room for what was already read when a mark is passed.
+ * Counts the bytes that a VM buffers for callers and servers, and limits them. Guards against many
+ * callers that read slowly or not at all: each caller has a share, and all of them together stay
+ * within a bound that fits the VM's memory. The watermarks leave room for data that was already
+ * read when a watermark is passed.
  */
 public final class HeldBytes {
-  /** Below it nobody is restricted; a shortage ends here, so that it does not come and go. */
+  /** Low watermark: nothing is restricted below it. A shortage ends here, for hysteresis. */
   private static final double LOW = 0.5;
 
-  /** From it new requests are refused: those under way may still need as much again. */
+  /**
+   * High watermark: new requests are refused, since those in flight may still need as much again.
+   */
   private static final double HIGH = 0.75;
 
   /**
-   * What a message costs beside its bytes: buffers, chunk framing and listeners. Without it small
-   * events unread would take several times what is counted.
+   * Memory of a message beside its bytes: buffers, chunk framing and listeners. Without it, small
+   * unread events would take several times the memory that is counted.
    */
   private static final int MESSAGE_BYTES = 512;
 
-  /** Of what is free: many slow callers get smaller shares, and never all of it. */
+  /**
+   * A share is the free space divided by this, so that many slow callers get smaller shares and
+   * never take all of it.
+   */
   private static final int SHARE_PARTS = 16;
 
   private static final long LEAST_SHARE = 4 << 10;
@@ -55,13 +61,13 @@
   private long total;
   private boolean isShort;
 
-  /** What bytes are held for, in the order in which holders are ended when the VM is full. */
+  /** What bytes are held for, in the order in which holders are ended at the bound. */
   public enum Kind {
-    /** Answers that callers have not read. */
+    /** Answers that callers have not read yet. */
     ANSWERS("answers"),
-    /** Bodies of requests, while they are read and until they are answered. */
+    /** Request bodies, from the first byte that is read until the request is answered. */
     BODIES("bodies"),
-    /** Answers that are passed on once they are whole. */
+    /** Answers that are forwarded only when they are complete. */
     GATHERED("gathered");
 
     private final String text;
@@ -70,7 +76,7 @@
       this.text = text;
     }
 
-    /** Returns the name in metrics. */
+    /** Returns the name of the kind in metrics. */
     public String text() {
       return text;
     }
@@ -79,8 +85,9 @@
   /**
    * Creates an account.
    *
-   * @param bound bytes at which the largest holders have to be ended
-   * @param onFull told when the bound is reached; it is to call {@link #shed} soon, not at once
+   * @param bound bytes at which the largest holders are ended
+   * @param onFull called when the bound is reached; has to call {@link #shed} soon, but not from
+   *     within this call
    */
   public HeldBytes(long bound, Runnable onFull) {
     this.bound = bound;
@@ -92,12 +99,12 @@
     return new Holder(kind);
   }
 
-  /** Returns how many bytes are held. */
+  /** Returns the total of held bytes. */
   public long total() {
     return total;
   }
 
-  /** Returns how many bytes are held of a kind. */
+  /** Returns the held bytes of a kind. */
   public long total(Kind kind) {
     return byKind.getOrDefault(kind, 0L);
   }
@@ -107,55 +114,60 @@
     return bound;
   }
 
-  /** Returns true from the high mark until below the low one: new requests are to be refused. */
+  /**
+   * Returns true from the high watermark until the total is below the low watermark: new requests
+   * have to be refused.
+   */
   public boolean isShort() {
     return isShort;
   }
 
-  /** Returns true while the bound is reached: nothing more is to be read. */
+  /** Returns true while the bound is reached: nothing more may be read. */
   public boolean isFull() {
     return total >= bound;
   }
 
-  /** Returns true if there is room to read on for callers that do not read. */
+  /**
+   * Returns true below the low watermark: answers of callers that do not read may still be read.
+   */
   public boolean hasRoom() {
     return total < lowMark();
   }
 
-  /** Returns how much one caller may leave unread until its server is held back. */
+  /** Returns the unread bytes of one caller at which reading from its server is paused. */
   public long share() {
     long free = Math.max(0, lowMark() - total);
     return Math.min(MOST_SHARE, Math.max(LEAST_SHARE, free / SHARE_PARTS));
   }
 
   /**
-   * Ends holders once the bound is reached: unread answers, largest first, until the shortage is
-   * over, and if they are not enough, bodies that are still read until there is room below the
-   * bound. Others, whose requests are with a server, are left.
+   * Ends holders if the bound is reached: unread answers, largest first, until the total is below
+   * the low watermark; if they do not suffice, request bodies that are still being read, until the
+   * total is below the bound. Holders whose requests are at a server stay.
    *
-   * @return how many were ended
+   * @return the number of ended holders
    */
   public int shed() {
     if (!isFull()) {
       return 0;
     }
-    List<Holder> ending = new ArrayList<>();
+    List<Holder> candidates = new ArrayList<>();
     for (Holder holder : holders) {
       if (holder.end != null) {
-        ending.add(holder);
+        candidates.add(holder);
       }
     }
-    ending.sort(
+    candidates.sort(
         Comparator.comparing((Holder holder) -> holder.kind)
             .thenComparing(Comparator.comparingLong(Holder::bytes).reversed()));
     int ended = 0;
-    for (Holder holder : ending) {
+    for (Holder holder : candidates) {
       if (holder.kind == Kind.ANSWERS ? hasRoom() : !isFull()) {
         break;
       }
-      Runnable end = holder.end;
-      if (end != null) {
-        end.run();
+      Runnable action = holder.end;
+      if (action != null) {
+        action.run();
         ended++;
       }
     }
@@ -186,7 +198,7 @@
     }
   }
 
-  /** What is held for one connection. */
+  /** Bytes that are held for one connection. */
   public final class Holder {
     private final Kind kind;
     private long bytes;
@@ -196,32 +208,32 @@
       this.kind = kind;
     }
 
-    /** Returns what a message of so many bytes counts. */
+    /** Returns the bytes to count for a message of {@code messageBytes}, including its overhead. */
     public long cost(int messageBytes) {
       return messageBytes + (long) MESSAGE_BYTES;
     }
 
-    /** Returns what is held now. */
+    /** Returns the bytes that are held now. */
     public long bytes() {
       return bytes;
     }
 
-    /** Sets how to end this holder, or null while it must not be ended. */
-    public void endBy(@Nullable Runnable how) {
-      end = how;
+    /** Sets the action that ends this holder; null while it must not be ended. */
+    public void endBy(@Nullable Runnable action) {
+      end = action;
     }
 
-    /** Adds what is held from now on. */
+    /** Adds bytes that are held from now on. */
     public void hold(long more) {
       change(this, more);
     }
 
-    /** Takes off what is held no longer; never more than is held. */
+    /** Subtracts bytes that are no longer held, at most those that are held. */
     public void release(long less) {
       change(this, -Math.min(less, bytes));
     }
 
-    /** Takes off all that is held. */
+    /** Subtracts all bytes of this holder. */
     public void releaseAll() {
       release(bytes);
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/LateHere.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/LateHere.java
@@ -18,43 +18,48 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Decides whether a request can still be in time at an overloaded VM. Answers the load of a VM that
- * is itself the bottleneck: what would be late here is in time at another VM, if it goes there at
- * once. All other requests are served.
+ * Decides whether an overloaded VM can still answer a request in time. Used when the VM itself is
+ * the bottleneck: a request that would be late here can be in time at another VM if its caller goes
+ * there at once. All other requests are served.
  */
 public final class LateHere {
-  /** The loop must run once more to send a request, and once to pass its answer on. */
+  /** Passes of the event loop: one sends the request, one forwards its answer. */
   private static final int TURNS = 2;
 
   /**
-   * Of the most urgent kinds only what is late for certain is refused, so that they are the last.
-   * They are refused too: where they alone are too many, all of them would be late otherwise.
+   * Passes that are assumed for requests of the highest priority: they are refused only if they are
+   * certainly late, so that they are refused last. They are refused too, since all of them would be
+   * late where they alone overload the VM.
    */
   private static final int TURNS_OF_URGENT = 1;
 
-  /** Short, as another VM has room; long enough that a new connection is up by then. */
+  /** Short, since another VM has capacity; long enough to open a connection to it. */
   private static final long RETRY_AFTER_MS = 50;
 
   private LateHere() {}
 
   /**
-   * Returns why a request is refused, or null if it is to be served.
+   * Returns the refusal of a request, or null if it is to be served.
    *
-   * @param ageMs how long ago the request came
-   * @param lagMs by how much this VM's loop runs late
-   * @param targetMs within which an answer is in time
-   * @param mayTakeMs within which an answer reaches the caller at all
-   * @param mostUrgent true if no kind of request is more urgent
+   * @param ageMs time since the request arrived
+   * @param lagMs lag of this VM's event loop
+   * @param targetMs target latency of the answer, counted from the arrival
+   * @param deadlineMs time since the arrival after which an answer no longer reaches the caller
+   * @param isHighestPriority true if no request has a higher priority
    */
   public static @Nullable Refusal decide(
-      long ageMs, double lagMs, long targetMs, long mayTakeMs, boolean mostUrgent) {
-    long limitMs = Math.min(targetMs, mayTakeMs);
-    double leastMs = ageMs + (mostUrgent ? TURNS_OF_URGENT : TURNS) * lagMs;
-    if (leastMs < limitMs) {
+      long ageMs, double lagMs, long targetMs, long deadlineMs, boolean isHighestPriority) {
+    long limitMs = Math.min(targetMs, deadlineMs);
+    double minLatencyMs = ageMs + (isHighestPriority ? TURNS_OF_URGENT : TURNS) * lagMs;
+    if (minLatencyMs < limitMs) {
       return null;
     }
-    String why =
-        "this VM runs " + Math.round(lagMs) + " ms late: no answer in " + limitMs + " ms from here";
-    return new Refusal("late", why, RETRY_AFTER_MS);
+    String explanation =
+        "the event loop of this VM lags by "
+            + Math.round(lagMs)
+            + " ms: it cannot answer within "
+            + limitMs
+            + " ms";
+    return new Refusal("late", explanation, RETRY_AFTER_MS);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/ReadGate.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/ReadGate.java
@@ -16,22 +16,25 @@
 package org.landingtrack.internal.protection;
 
 /**
- * Decides whether a server is read on while its caller does not read. Answers the load of streams
- * that come faster than their callers take them: without it all that a server sends piles up here.
- * A server cuts an answer that stays unread for some seconds, so one that is held back is read a
- * little now and then, while the VM has room for it.
+ * Applies backpressure: decides whether to read from a server while its caller reads slowly. Guards
+ * against streams that are faster than their callers; without it, all that a server sends would be
+ * buffered here. A server aborts an answer that stays unread for some seconds, so a paused server
+ * is read a little now and then, while the VM has memory for it.
  */
 public final class ReadGate {
-  /** Well below the seconds after which servers cut answers that stay unread. */
+  /** Interval of reads from a paused server, well below the time after which servers abort. */
   private static final long READ_ON_AFTER_MS = 1_000;
 
   /**
-   * Callers give a stream up after two seconds without an event, so one that took nothing for so
-   * long is hardly there; its server would cut it soon.
+   * Callers abandon a stream after two seconds without an event, so a caller that read nothing for
+   * this long has probably left; its server would abort the answer soon.
    */
   private static final long TAKES_NOTHING_MS = 2_000;
 
-  /** Going on only here, a server is not stopped and started for each event. */
+  /**
+   * Reading resumes when the unread bytes fall to the share divided by this, so that a server is
+   * not paused and resumed for each event.
+   */
   private static final int RESUME_PARTS = 4;
 
   private final HeldBytes held;
@@ -39,28 +42,29 @@
   private long heldBackAtMs;
   private long share;
 
-  /** What to do with the server's connection. */
+  /** What to do with the connection to the server. */
   public enum Reading {
-    /** Go on as before. */
+    /** Continue as before. */
     AS_BEFORE,
-    /** Read it no further. */
+    /** Stop reading. */
     HOLD_BACK,
-    /** Read it again. */
+    /** Resume reading. */
     RESUME,
-    /** Read one piece. */
+    /** Read once, then stop again. */
     ONE_PIECE
   }
 
+  /** Creates a gate that lets data through; {@code held} counts the bytes that the VM holds. */
   public ReadGate(HeldBytes held) {
     this.held = held;
   }
 
-  /** Returns true while the server is held back. */
+  /** Returns true while reading from the server is paused. */
   public boolean isClosed() {
     return closed;
   }
 
-  /** Decides after the caller's unread bytes changed. */
+  /** Decides after a change of the caller's unread bytes. */
   public Reading changed(long unreadBytes, long nowMs) {
     if (!closed && unreadBytes >= held.share()) {
       closed = true;
@@ -75,7 +79,7 @@
     return Reading.AS_BEFORE;
   }
 
-  /** Decides about a server that is held back; to be asked several times a second. */
+  /** Decides about a paused server; has to be called several times a second. */
   public Reading look(long nowMs) {
     if (!closed || !held.hasRoom() || nowMs - heldBackAtMs < READ_ON_AFTER_MS) {
       return Reading.AS_BEFORE;
@@ -85,11 +89,12 @@
   }
 
   /**
-   * Returns true if a caller with unread bytes is to be left, because others lack the room.
+   * Returns true if a caller with unread bytes has to be disconnected because memory is short.
    *
-   * @param tookAtMs when the caller last took some bytes, or the first became unread
+   * @param lastReadAtMs when the caller last read some bytes; if later, when the first of the
+   *     current bytes became unread
    */
-  public boolean isAway(long tookAtMs, long nowMs) {
-    return !held.hasRoom() && nowMs - tookAtMs >= TAKES_NOTHING_MS;
+  public boolean isAway(long lastReadAtMs, long nowMs) {
+    return !held.hasRoom() && nowMs - lastReadAtMs >= TAKES_NOTHING_MS;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/Refusal.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/Refusal.java
@@ -16,10 +16,10 @@
 package org.landingtrack.internal.protection;
 
 /**
- * Why a VM refuses a request for its own sake. The request was given to no server.
+ * Refusal of a request by a VM that is overloaded itself. The request was sent to no server.
  *
  * @param reason short name for metrics
- * @param why for the caller and the log
- * @param retryAfterMs when the caller may come back; another VM probably has room
+ * @param why explanation for the caller and the log
+ * @param retryAfterMs time after which the caller may retry; another VM probably has capacity
  */
 public record Refusal(String reason, String why, long retryAfterMs) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/VmLimits.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/VmLimits.java
@@ -16,35 +16,43 @@
 package org.landingtrack.internal.protection;
 
 /**
- * What a VM has, and the bounds that follow. A figure that the settings lack is 0 and binds
- * nothing.
+ * Resources of a VM and the limits that are derived from them. A resource that the settings lack is
+ * 0 and limits nothing.
  *
- * @param cpuHundredths hundredths of a core
- * @param memoryMb memory of the VM; a process beyond it is killed
- * @param fileDescriptors descriptors of the process
- * @param linkMbps rate of the VM's own link
+ * @param cpuHundredths processor capacity in hundredths of a core
+ * @param memoryMb memory of the VM; a process that uses more is killed
+ * @param fileDescriptors limit of file descriptors of the process
+ * @param linkMbps bandwidth of the VM's network link
  */
 public record VmLimits(int cpuHundredths, int memoryMb, int fileDescriptors, double linkMbps) {
-  /** Held bytes are only one use of the heap, and are copied when they are written. */
+  /**
+   * The limit is the heap divided by this: held bytes are only one use of the heap, and are copied
+   * when they are written.
+   */
   private static final int HEAP_PARTS = 4;
 
-  /** The rest of the VM's memory is the runtime's, the system's and that of bytes not read yet. */
+  /**
+   * The limit is the memory divided by this; the rest is for the runtime, the operating system and
+   * bytes that are not read yet.
+   */
   private static final int MEMORY_PARTS = 8;
 
-  /** Callers wait some ten seconds at most: what the link takes longer for reaches nobody. */
+  /**
+   * Callers wait about ten seconds at most, so bytes that the link needs longer for reach nobody.
+   */
   private static final double LINK_SECONDS = 10;
 
-  /** The longest body that configurations allow must fit. */
+  /** The largest request body that a configuration may allow has to fit. */
   private static final long LEAST_HELD_BYTES = 4 << 20;
 
-  /** Descriptors for files, which connections must leave. */
+  /** Descriptors that are reserved for files. */
   private static final int FILES = 200;
 
   private static final double CONNECTIONS_SHARE = 0.9;
   private static final double BYTES_PER_MBIT = 125_000;
   private static final long BYTES_PER_MB = 1 << 20;
 
-  /** Returns how many bytes this VM may hold for callers and servers together. */
+  /** Returns the largest number of bytes that this VM may hold for callers and servers together. */
   public long heldBound(long heapBytes) {
     long bound = heapBytes / HEAP_PARTS;
     if (memoryMb > 0) {
@@ -56,7 +64,7 @@
     return Math.max(LEAST_HELD_BYTES, bound);
   }
 
-  /** Returns how many connections of callers and to servers this VM keeps at most. */
+  /** Returns the largest number of connections, from callers and to servers together. */
   public int maxConnections() {
     if (fileDescriptors == 0) {
       return Integer.MAX_VALUE;
--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/VmPressure.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/VmPressure.java
@@ -16,29 +16,32 @@
 package org.landingtrack.internal.protection;
 
 /**
- * Decides whether a VM is overloaded, from samples taken twice a second. Answers the load of more
- * requests than the VM's own processor serves in time: small VMs get as many as large ones. The
- * event loop's lag decides, since it is what callers feel, whatever the VM's size; the use of the
- * processor and of connections only warns.
+ * Detects overload of a VM from samples that are taken twice a second. Guards against more requests
+ * than the VM's own processor can serve in time; small VMs get as many requests as large ones. The
+ * lag of the event loop decides, since it delays callers by the same time whatever the size of the
+ * VM; processor and connection use only make the VM busy.
  */
 public final class VmPressure {
-  /** A loop that is late by so much adds twice that to an answer: a plain one's whole target. */
+  /**
+   * Lag of an overloaded VM. It adds twice this time to an answer, which is the whole target
+   * latency of a plain HTTP request.
+   */
   private static final double OVERLOADED_LAG_MS = 100;
 
   private static final double BUSY_LAG_MS = 25;
 
-  /** Above this share of the processor a burst already makes requests wait. */
+  /** Above this share of the processor, a burst makes requests wait. */
   private static final double BUSY_CPU = 0.8;
 
   private static final double BUSY_CONNECTIONS = 0.8;
 
-  /** So much of the heap still in use after collections leaves no room for what is under way. */
+  /** Heap use after collections that leaves too little memory for the requests in flight. */
   private static final double SHORT_HEAP = 0.85;
 
-  /** Once below this part of a threshold, the state may be left. */
+  /** A state is left only below this part of its thresholds. */
   private static final double LEAVE = 0.5;
 
-  /** One sample may hold a pause for a collection or a suspension. */
+  /** One sample is not enough: it may contain a garbage collection or a suspension of the VM. */
   private static final int SAMPLES_TO_ENTER = 2;
 
   private static final int SAMPLES_TO_LEAVE = 3;
@@ -48,7 +51,7 @@
   private int below;
   private int shortOfHeap;
 
-  /** How much a VM has to do, compared with what it can. */
+  /** Load of a VM relative to its capacity. */
   public enum State {
     NORMAL(0),
     BUSY(1),
@@ -60,23 +63,23 @@
       this.level = level;
     }
 
-    /** Returns the number in metrics; higher is worse. */
+    /** Returns the number of the state in metrics; higher is worse. */
     public int level() {
       return level;
     }
   }
 
   /**
-   * What was measured since the last sample.
+   * Measurements since the last sample.
    *
-   * @param lagMs by how much the event loop ran late on average
-   * @param cpuShare processor time used, of the VM's own share
-   * @param heapShare lowest heap in use lately, of the most
-   * @param connectionShare open connections, of the most
+   * @param lagMs mean lag of the event loop
+   * @param cpuShare used processor time as a share of the VM's processor limit
+   * @param heapShare lowest recent heap use as a share of the maximum heap
+   * @param connectionShare open connections as a share of the maximum
    */
   public record Sample(double lagMs, double cpuShare, double heapShare, double connectionShare) {}
 
-  /** Takes a sample and returns the state from now on. */
+  /** Adds a sample and returns the new state. */
   public State sample(Sample sample) {
     shortOfHeap = sample.heapShare >= SHORT_HEAP ? shortOfHeap + 1 : 0;
     State reached = reached(sample, 1);
@@ -95,7 +98,7 @@
     return state;
   }
 
-  /** Returns true while the heap has no room for new requests. */
+  /** Returns true while the heap is too full for new requests. */
   public boolean isShortOfHeap() {
     return shortOfHeap >= SAMPLES_TO_ENTER;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/package-info.java
@@ -14,10 +14,11 @@
  * limitations under the License.
  */
 /**
- * Decides what a VM holds, refuses and ends to stay within its own limits: its memory, processor,
- * link and descriptors. Pure decisions over figures that others measure; no I/O.
+ * Overload protection of a VM: decides what it buffers, refuses and ends to stay within its own
+ * memory, processor, network link and file descriptors. The decisions use figures that other
+ * classes measure; there is no I/O here.
  *
- * <p>Everything here runs on one event loop thread.
+ * <p>All classes are used on one event loop thread.
  */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.protection;
--- a/landingtrack/src/test/java/org/landingtrack/internal/protection/EarlyReturnsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/protection/EarlyReturnsTest.java
@@ -48,7 +48,7 @@
     assertTrue(returns.isEmpty());
   }
 
-  /** Callers wait at most a third of what they have left: those are not early. */
+  /** Callers wait at most a third of their remaining time, so a retry after that is not early. */
   @Test
   public void aCallerWithLittleTimeMayComeSooner() {
     returns.refused(9, 1_000, 300, 0);
--- a/landingtrack/src/test/java/org/landingtrack/internal/protection/HeldBytesTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/protection/HeldBytesTest.java
@@ -46,7 +46,9 @@
     return new Object[][] {{1L}, {2L}, {3L}, {4L}, {5L}};
   }
 
-  /** Whatever comes and goes, the sum is that of the holders, never negative, and 0 at the end. */
+  /**
+   * After any operation the total is the sum of the holders and not negative; at the end it is 0.
+   */
   @Test(dataProvider = "seeds")
   public void nothingLeaksAndNothingIsCountedTwice(long seed) {
     Random random = new Random(seed);
@@ -97,30 +99,30 @@
 
   @Test
   public void theLargestUnreadAnswersAreEndedFirst() {
-    List<String> ended = new ArrayList<>();
-    holder(Kind.BODIES, 290_000, "body", ended);
-    holder(Kind.ANSWERS, 190_000, "small", ended);
-    holder(Kind.ANSWERS, 510_000, "large", ended);
+    List<String> endedNames = new ArrayList<>();
+    holder(Kind.BODIES, 290_000, "body", endedNames);
+    holder(Kind.ANSWERS, 190_000, "small", endedNames);
+    holder(Kind.ANSWERS, 510_000, "large", endedNames);
     held.open(Kind.GATHERED).hold(10_000);
     assertEquals(full, 1);
     assertEquals(held.shed(), 1);
-    assertEquals(ended, List.of("large"));
+    assertEquals(endedNames, List.of("large"));
     assertFalse(held.isShort());
     assertEquals(held.shed(), 0);
   }
 
-  /** Whether a request that is with a server runs would be in doubt. */
+  /** Ending a request that is at a server would leave its outcome in doubt. */
   @Test
   public void whatMustNotBeEndedIsLeft() {
     held.open(Kind.BODIES).hold(BOUND);
-    List<String> ended = new ArrayList<>();
-    holder(Kind.BODIES, 10, "body that is read", ended);
+    List<String> endedNames = new ArrayList<>();
+    holder(Kind.BODIES, 10, "body that is read", endedNames);
     assertEquals(held.shed(), 1);
-    assertEquals(ended, List.of("body that is read"));
+    assertEquals(endedNames, List.of("body that is read"));
     assertTrue(held.isFull());
   }
 
-  /** With fixed shares enough callers that do not read pass any bound. */
+  /** With fixed shares, enough callers that do not read would exceed any bound. */
   @Test
   public void sharesFallAsMoreCallersDoNotRead() {
     for (int i = 0; i < 10_000; i++) {
@@ -131,12 +133,12 @@
     assertTrue(held.share() < 20_000);
   }
 
-  private void holder(Kind kind, long bytes, String name, List<String> ended) {
+  private void holder(Kind kind, long bytes, String name, List<String> endedNames) {
     Holder holder = held.open(kind);
     holder.hold(bytes);
     holder.endBy(
         () -> {
-          ended.add(name);
+          endedNames.add(name);
           holder.releaseAll();
         });
   }
--- a/landingtrack/src/test/java/org/landingtrack/internal/protection/OverloadedVmTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/protection/OverloadedVmTest.java
@@ -27,8 +27,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Plays more requests than one VM's loop can do, and counts what callers get. The loop takes
- * requests as they came; a refusal costs it a tenth of a request.
+ * Simulates a VM whose event loop gets more requests than it can serve, and counts the answers in
+ * time. The loop handles requests in the order of arrival; a refusal takes a tenth of the time of a
+ * request.
  */
 public final class OverloadedVmTest {
   private static final long END_MS = 60_000;
@@ -39,12 +40,12 @@
   private static final int TICK_MS = 100;
   private static final int TICKS = 5;
 
-  /** One request in four is of the most urgent kind. */
+  /** One request in four has the highest priority. */
   private static final int URGENT_PARTS = 4;
 
   private record Arrival(long atMs, boolean urgent) {}
 
-  /** What became of the requests of a run. */
+  /** Outcomes of the requests of a run. */
   private static final class Outcome {
     int inTime;
     int urgentInTime;
@@ -56,7 +57,7 @@
     double lastRefusalMs;
   }
 
-  /** Runs a load, which ends at {@code loadEndsMs} with half of what the VM can do. */
+  /** Runs a load, which falls to half of the VM's capacity at {@code loadEndsMs}. */
   private static Outcome play(double load, long loadEndsMs, long seed) {
     Random random = new Random(seed);
     VmPressure pressure = new VmPressure();
@@ -116,14 +117,14 @@
     };
   }
 
-  /** What the refusals themselves take is all that callers lose of what the VM can do. */
+  /** The only capacity that callers lose is the time that refusals take. */
   @Test(dataProvider = "loads")
   public void anOverloadedVmServesInTimeWhatItCan(double load, long seed) {
     Outcome outcome = play(load, END_MS, seed);
     double refusedShare = (load - 1) * REFUSED_MS / SERVED_MS;
-    double could = END_MS / SERVED_MS * (1 - refusedShare);
-    String text = "in time " + outcome.inTime + " of " + could;
-    assertTrue(outcome.inTime >= 0.9 * could, text);
+    double capacity = END_MS / SERVED_MS * (1 - refusedShare);
+    String text = "in time " + outcome.inTime + " of " + capacity;
+    assertTrue(outcome.inTime >= 0.9 * capacity, text);
     assertTrue(
         outcome.admittedLate <= 0.05 * outcome.admitted,
         "late " + outcome.admittedLate + " of " + outcome.admitted);
@@ -138,7 +139,7 @@
     assertEquals(outcome.inTime, outcome.urgent + outcome.others);
   }
 
-  /** Lifted within a second, or with the end of what had piled up. */
+  /** Refusals end within a second of the end of the load, including the backlog. */
   @Test
   public void refusalsEndWithTheLoad() {
     Outcome outcome = play(2, 30_000, 1);
--- a/landingtrack/src/test/java/org/landingtrack/internal/protection/ReadGateTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/protection/ReadGateTest.java
@@ -47,7 +47,7 @@
     assertFalse(gate.isClosed());
   }
 
-  /** Otherwise the server cuts an answer that its caller is still reading. */
+  /** Without these reads the server aborts an answer that its caller is still reading. */
   @Test
   public void aServerThatIsHeldBackIsReadNowAndThen() {
     gate.changed(SHARE, 0);
--- a/landingtrack/src/test/java/org/landingtrack/internal/protection/VmPressureTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/protection/VmPressureTest.java
@@ -51,7 +51,7 @@
     assertEquals(lag(0), State.NORMAL);
   }
 
-  /** A collection, or a VM that was suspended: its requests are old, but there is no load. */
+  /** After a garbage collection or a suspension of the VM, requests are old without overload. */
   @Test
   public void onePauseChangesNothing() {
     for (int i = 0; i < 20; i++) {
@@ -59,7 +59,7 @@
     }
   }
 
-  /** What is used of processor and connections is no reason to refuse anybody. */
+  /** Processor and connection use alone are no reason to refuse requests. */
   @Test
   public void useAloneMakesBusy() {
     for (int i = 0; i < 20; i++) {
@@ -83,7 +83,7 @@
     return new Object[][] {{11L}, {12L}, {13L}};
   }
 
-  /** Lag around the threshold: the state changes at most once in a second. */
+  /** With lag around the threshold, the state changes at most once a second. */
   @Test(dataProvider = "seeds")
   public void theStateDoesNotFlap(long seed) {
     Random random = new Random(seed);
@@ -110,7 +110,10 @@
     assertTrue(LateHere.decide(0, 150, 600, 200, false) != null);
   }
 
-  /** The load of twice what a VM can do: the rest goes on being served, urgent kinds throughout. */
+  /**
+   * At any lag at which other requests are served, those of the highest priority are served too, so
+   * that twice the load the VM can serve leaves them unaffected.
+   */
   @Test
   public void urgentKindsAreRefusedLast() {
     for (double lagMs = 0; lagMs < 3_000; lagMs += 10) {
