--- a/landingtrack/src/main/java/org/landingtrack/internal/health/Ejection.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/Ejection.java
@@ -18,20 +18,24 @@
 import org.landingtrack.internal.health.Evidence.Word;
 
 /**
- * That this VM found a server to be at fault by the outcomes of all VMs, and when it is tried
- * again. All VMs hear of each try and each answer, and so count the same pauses.
+ * State of the ejection of one server on this VM: whether it is in force, and when the next probe
+ * is due. All VMs receive the counts of probes and of answered probes, so they compute the same
+ * probe delays. Not thread-safe.
  */
 final class Ejection {
   private static final long FIRST_PAUSE_MS = 1_000;
   private static final long MAX_PAUSE_MS = 8_000;
 
-  /** A server that is ejected again within this time is tried again later each time. */
+  /** A server that is ejected again within this time keeps doubling its probe delay. */
   private static final long REMEMBERED_MS = 30_000;
 
-  /** VMs take turns to try a server: a request that may be tried comes within some of them. */
+  /**
+   * Length of the turn in which one VM may probe the server. Over several turns some VM gets a
+   * request that is suitable as a probe.
+   */
   private static final long TURN_MS = 500;
 
-  /** No VM had such a request for so long: it is left to all of them. */
+  /** If no VM sent a probe within this time after it was due, the server is reinstated for all. */
   private static final long UNTRIED_MS = 4_000;
 
   private final long server;
@@ -44,24 +48,33 @@
   private long proofsKnown;
   private Evidence past = Evidence.NONE;
 
-  /** What becomes of an ejection. */
+  /** Result of {@link #heard}. */
   enum Change {
+    /** The ejection goes on. */
     NONE,
+    /** The server answered a probe and is reinstated. */
     PROVED,
+    /** No VM had a request to probe the server with, so it is reinstated. */
     UNTRIED
   }
 
+  /**
+   * Creates an ejection that has not begun.
+   *
+   * @param server hash of the server's incarnation
+   * @param service hash of the service's name
+   */
   Ejection(long server, long service) {
     this.server = server;
     this.service = service;
   }
 
-  /** Begins, or begins again. */
-  void begin(Word word, long nowMs) {
+  /** Begins the ejection, or begins it again; a repeated one doubles the probe delay. */
+  void begin(Word counts, long nowMs) {
     pauseMs = pauseMs == 0 ? FIRST_PAUSE_MS : Math.min(MAX_PAUSE_MS, 2 * pauseMs);
     dueAtMs = nowMs + pauseMs;
-    probesKnown = word.probes();
-    proofsKnown = word.proofs();
+    probesKnown = counts.probes();
+    proofsKnown = counts.proofs();
     held = true;
   }
 
@@ -73,29 +86,32 @@
     return held;
   }
 
-  /** Returns true if what was learned of the server no longer matters. */
+  /** Returns true if the server was reinstated so long ago that this state can be dropped. */
   boolean isForgotten(long nowMs) {
     return !held && nowMs - releasedAtMs > REMEMBERED_MS;
   }
 
-  /** Returns the outcomes that say something of the server since it was last released. */
+  /**
+   * Returns the outcomes since the server was last reinstated. Outcomes from before would eject it
+   * again at once.
+   */
   Evidence since(Evidence evidence, long nowMs) {
     boolean isPast = nowMs - releasedAtMs > RecentOutcomes.WINDOW_MS;
     return isPast ? evidence : evidence.minus(past);
   }
 
-  /** Takes what all VMs say of the server while it is held. */
-  Change heard(Word word, Evidence evidence, long nowMs) {
-    if (word.proofs() > proofsKnown) {
+  /** Updates the ejection with the counts of all VMs; call it only while it is in force. */
+  Change heard(Word counts, Evidence evidence, long nowMs) {
+    if (counts.proofs() > proofsKnown) {
       release(evidence, nowMs);
       return Change.PROVED;
     }
-    if (word.probes() > probesKnown) {
+    if (counts.probes() > probesKnown) {
       pauseMs = Math.min(MAX_PAUSE_MS, 2 * pauseMs);
       dueAtMs = nowMs + pauseMs;
     }
-    probesKnown = word.probes();
-    proofsKnown = word.proofs();
+    probesKnown = counts.probes();
+    proofsKnown = counts.proofs();
     if (nowMs - dueAtMs > UNTRIED_MS) {
       release(evidence, nowMs);
       return Change.UNTRIED;
@@ -109,12 +125,12 @@
     past = evidence;
   }
 
-  /** Returns true while VMs take turns to try the server. */
+  /** Returns true if the server is ejected and VMs may probe it in turns. */
   boolean isDue(long nowMs) {
     return held && nowMs >= dueAtMs;
   }
 
-  /** Returns what the VM whose turn it is is drawn by. */
+  /** Returns the key that selects the VM whose turn it is to probe, by rendezvous hashing. */
   long turn(long nowMs) {
     return server + (nowMs - dueAtMs) / TURN_MS;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/Evidence.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/Evidence.java
@@ -20,23 +20,34 @@
 import org.landingtrack.internal.loads.Tally;
 
 /**
- * What is known of a server or a service over two spans of time. What went on before a server
- * turned bad speaks for it, the longer the span; a short one says little of a server that fails now
- * and then.
+ * Outcomes of requests at a server or a service in two time windows. The long window of a server
+ * that has just begun to fail still contains many successes; the short window has too few requests
+ * to find a server that fails only some of them.
+ *
+ * @param latest the last {@link RecentOutcomes#LATEST_MS}
+ * @param window the last {@link RecentOutcomes#WINDOW_MS}
  */
 record Evidence(Outcomes latest, Outcomes window) {
   static final Evidence NONE = new Evidence(Outcomes.NONE, Outcomes.NONE);
 
+  // Indexes of the counts in a tally. Each set of outcomes takes three; count 0 is the rank.
   private static final int LATEST = 1;
   private static final int WINDOW = 4;
   private static final int HOLDERS = 7;
   private static final int PROBES = 8;
   private static final int PROOFS = 9;
 
-  /** What VMs say of an ejected server: how many hold it, tried it and had an answer of it. */
+  /**
+   * What VMs report about an ejected server.
+   *
+   * @param holders number of VMs that eject it now
+   * @param probes number of VMs that probed it lately
+   * @param proofs number of VMs whose probe it answered lately
+   */
   record Word(long holders, long probes, long proofs) {
     static final Word NONE = new Word(0, 0, 0);
 
+    /** Reads the counts from the tally of a server. */
     static Word of(Tally tally) {
       return new Word(tally.count(HOLDERS), tally.count(PROBES), tally.count(PROOFS));
     }
@@ -46,6 +57,7 @@
     }
   }
 
+  /** Reads the outcomes from the tally of a server or a service. */
   static Evidence of(Tally tally) {
     return new Evidence(outcomes(tally, LATEST), outcomes(tally, WINDOW));
   }
@@ -54,17 +66,20 @@
     return new Outcomes(tally.count(index), tally.count(index + 1), tally.count(index + 2));
   }
 
-  /** Returns what is told of a server; where not all can be told, those with faults are. */
-  Tally ofServer(long server, Word word) {
-    return tally(server, window.bad() + word.holders(), word);
+  /**
+   * Returns the tally of a server for the other VMs. If a message has no room for all servers,
+   * ejected ones and those with the most bad outcomes come first.
+   */
+  Tally ofServer(long server, Word counts) {
+    return tally(server, window.bad() + counts.holders(), counts);
   }
 
-  /** Returns what is told of a service, with which each of its servers is compared. */
+  /** Returns the tally of a service, which is the baseline that its servers are compared with. */
   Tally ofService(long service) {
     return tally(service, window.total() + 1, Word.NONE);
   }
 
-  private Tally tally(long key, long rank, Word word) {
+  private Tally tally(long key, long rank, Word counts) {
     return new Tally(
         key,
         rank,
@@ -74,11 +89,12 @@
         window.total(),
         window.failures(),
         window.slow(),
-        word.holders(),
-        word.probes(),
-        word.proofs());
+        counts.holders(),
+        counts.probes(),
+        counts.proofs());
   }
 
+  /** Returns true if any request failed or was slow. */
   boolean hasFaults() {
     return latest.bad() > 0 || window.bad() > 0;
   }
@@ -87,20 +103,21 @@
     return each(other, Outcomes::plus);
   }
 
+  /** Returns these outcomes without others; no count falls below 0. */
   Evidence minus(Evidence other) {
     return each(other, Outcomes::minus);
   }
 
-  /** Returns the same mix of outcomes with no more bad ones of a kind than a number. */
-  Evidence atMost(long bad) {
-    return each(outcomes -> outcomes.atMost(bad));
+  /** Scales the outcomes of both windows as {@link Outcomes#atMost} does. */
+  Evidence atMost(long maxBad) {
+    return each(outcomes -> outcomes.atMost(maxBad));
   }
 
-  private Evidence each(Evidence other, BinaryOperator<Outcomes> of) {
-    return new Evidence(of.apply(latest, other.latest), of.apply(window, other.window));
+  private Evidence each(Evidence other, BinaryOperator<Outcomes> operator) {
+    return new Evidence(operator.apply(latest, other.latest), operator.apply(window, other.window));
   }
 
-  private Evidence each(UnaryOperator<Outcomes> of) {
-    return new Evidence(of.apply(latest), of.apply(window));
+  private Evidence each(UnaryOperator<Outcomes> operator) {
+    return new Evidence(operator.apply(latest), operator.apply(window));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/HealthPolicy.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/HealthPolicy.java
@@ -21,52 +21,69 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Decides which servers of a service are ejected, by the outcomes of all VMs. Pure.
+ * Outlier detection: decides which servers of a service are ejected, from the outcomes of all VMs.
+ * Stateless and without side effects.
  *
- * <p>The load that it answers: many VMs before many servers, of which each VM sends a server one
- * request in several seconds. A server is compared with the others of its service and not with
- * none: some work fails everywhere, and a service that is overloaded is slow everywhere.
+ * <p>Designed for many VMs and many servers, where each VM sends one request to a server in several
+ * seconds and so cannot decide alone. A server is compared with the other servers of its service,
+ * not with a fixed limit: some requests fail on any server, and all servers of an overloaded
+ * service are slow.
  */
 final class HealthPolicy {
   /**
-   * Logarithm of how much better a fault of the server explains its outcomes than chance: one
-   * healthy server a day is ejected by mistake where 60 of them have a failure in a hundred.
+   * Minimum log-likelihood ratio of "the server is at fault" to "chance" for an ejection. At this
+   * value about one healthy server a day is ejected by mistake, for 60 servers that each fail one
+   * request in a hundred.
    */
   private static final double ENOUGH = 15;
 
-  /** Of a service so many servers may be ejected at once, one in three: the rest bears the load. */
+  /**
+   * At most one in this many servers of a service is ejected at once, since the others have to
+   * carry its load.
+   */
   private static final int OF_SERVERS = 3;
 
-  /** Retries of a request that failed are free up to this share; below it nobody is harmed. */
+  /**
+   * Minimum excess of a server's failure share over the baseline. Below it, retries of the failed
+   * requests cost nothing and no caller is harmed.
+   */
   private static final double HARMFUL_FAILURES = 0.2;
 
-  /** Which requests are slow depends on the requests too; a slow server is slow for most. */
+  /**
+   * Minimum excess of the share of slow requests over the baseline. Larger than that for failures,
+   * since the time also depends on the request; a slow server is slow for most requests.
+   */
   private static final double HARMFUL_SLOW = 0.5;
 
-  /** Shares that are taken to be usual where the other servers say little. */
+  /** Baseline shares while the other servers have few requests. */
   private static final double USUAL_FAILURES = 0.01;
 
   private static final double USUAL_SLOW = 0.02;
 
-  /** The usual shares weigh as much as so many requests. */
+  /** Weight of the default baseline shares, in requests. */
   private static final double USUAL_WEIGHT = 100;
 
   private HealthPolicy() {}
 
-  /** Shares of the requests at the other servers. */
+  /** Baseline: shares of failed and of slow requests at the other servers of the service. */
   private record Usual(double failures, double slow) {}
 
-  /** A server and its outcomes. */
+  /**
+   * A server and its outcomes.
+   *
+   * @param start hash of its incarnation
+   */
   record Server(long start, Evidence evidence) {}
 
   /**
    * A server that is to be ejected.
    *
-   * @param score by which the worst goes first
+   * @param reason text for the log
+   * @param score log-likelihood ratio; the highest is ejected first
    */
   record Verdict(Server server, String reason, double score) {}
 
-  /** Returns how many servers of a service may be ejected at once. */
+  /** Returns how many of a service's servers may be ejected at once. */
   static int mostEjected(int servers) {
     return servers / OF_SERVERS;
   }
@@ -74,21 +91,22 @@
   /**
    * Returns the servers to eject now, the worst first.
    *
-   * @param servers those of a service that are not ejected
-   * @param all what is known of all of these together
-   * @param most how many may be ejected
+   * @param servers the servers of a service that are not ejected; those without faults may be left
+   *     out
+   * @param all outcomes of all servers of the service that are not ejected, in total
+   * @param maxEjected how many more may be ejected
    */
-  static List<Verdict> judge(List<Server> servers, Evidence all, int most) {
+  static List<Verdict> judge(List<Server> servers, Evidence all, int maxEjected) {
     List<Verdict> ejected = new ArrayList<>();
-    List<Server> left = new ArrayList<>(servers);
+    List<Server> remaining = new ArrayList<>(servers);
     Evidence sum = all;
-    while (ejected.size() < most) {
-      Verdict worst = worst(left, sum);
+    while (ejected.size() < maxEjected) {
+      Verdict worst = worst(remaining, sum);
       if (worst == null) {
         break;
       }
       ejected.add(worst);
-      left.remove(worst.server());
+      remaining.remove(worst.server());
       sum = sum.minus(worst.server().evidence());
     }
     return ejected;
@@ -108,27 +126,27 @@
     return worst;
   }
 
-  /** A server is judged by either span, and against the worse span of the others. */
+  /** Compares each window of a server with the worse of both windows of the other servers. */
   private static @Nullable Verdict judge(Server server, Evidence others) {
-    Usual usual =
+    Usual baseline =
         new Usual(
             usual(others, Outcomes::failures, USUAL_FAILURES),
             usual(others, Outcomes::slow, USUAL_SLOW));
-    Verdict latest = judge(server, server.evidence().latest(), usual);
-    return latest != null ? latest : judge(server, server.evidence().window(), usual);
+    Verdict latest = judge(server, server.evidence().latest(), baseline);
+    return latest != null ? latest : judge(server, server.evidence().window(), baseline);
   }
 
-  private static @Nullable Verdict judge(Server server, Outcomes own, Usual usual) {
-    double failing = score(own.failures(), own.total(), usual.failures(), HARMFUL_FAILURES);
+  private static @Nullable Verdict judge(Server server, Outcomes own, Usual baseline) {
+    double failing = score(own.failures(), own.total(), baseline.failures(), HARMFUL_FAILURES);
     if (failing >= ENOUGH) {
-      String reason = reason("failed", own.failures(), own.total(), usual.failures());
+      String reason = reason("failed", own.failures(), own.total(), baseline.failures());
       return new Verdict(server, reason, failing);
     }
-    double slow = score(own.slow(), own.total(), usual.slow(), HARMFUL_SLOW);
+    double slow = score(own.slow(), own.total(), baseline.slow(), HARMFUL_SLOW);
     if (slow < ENOUGH) {
       return null;
     }
-    return new Verdict(server, reason("were slow", own.slow(), own.total(), usual.slow()), slow);
+    return new Verdict(server, reason("were slow", own.slow(), own.total(), baseline.slow()), slow);
   }
 
   private static double usual(Evidence others, ToLongFunction<Outcomes> bad, double prior) {
@@ -141,19 +159,25 @@
     return Math.max(prior, (bad + prior * USUAL_WEIGHT) / (total + USUAL_WEIGHT));
   }
 
-  /** Returns the logarithm of the likelihood ratio, or 0 if nobody is harmed. */
-  private static double score(long bad, long total, double usual, double harmful) {
+  /** Returns the log-likelihood ratio, or 0 if the share is too close to the baseline to matter. */
+  private static double score(long bad, long total, double baseline, double minExcess) {
     double share = total == 0 ? 0 : (double) bad / total;
-    if (share - usual < harmful) {
+    if (share - baseline < minExcess) {
       return 0;
     }
-    double ofBad = bad * Math.log(share / usual);
+    double badTerm = bad * Math.log(share / baseline);
     long good = total - bad;
-    return good == 0 ? ofBad : ofBad + good * Math.log((1 - share) / (1 - usual));
+    return good == 0 ? badTerm : badTerm + good * Math.log((1 - share) / (1 - baseline));
   }
 
-  private static String reason(String what, long bad, long total, double usual) {
-    return bad + " of " + total + " requests of all VMs " + what + ", usual is " + percent(usual);
+  private static String reason(String problem, long bad, long total, double baseline) {
+    return bad
+        + " of "
+        + total
+        + " requests of all VMs "
+        + problem
+        + ", usual is "
+        + percent(baseline);
   }
 
   private static String percent(double share) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/Outcomes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/Outcomes.java
@@ -16,11 +16,13 @@
 package org.landingtrack.internal.health;
 
 /**
- * Outcomes of requests at a server or a service within a time, of one VM or of several.
+ * Counts of the outcomes of requests at a server or a service in a time window, from one VM or
+ * several.
  *
- * @param total requests whose outcome is known, or that wait for too long already
- * @param failures those that failed by a fault of the server, or wait for so long
- * @param slow those that took much longer than usual
+ * @param total requests whose outcome is known, or that have been waiting for too long
+ * @param failures requests that failed through a fault of the server, or that have been waiting
+ *     until their target was missed
+ * @param slow requests that took, or have been waiting, much longer than usual
  */
 record Outcomes(long total, long failures, long slow) {
   static final Outcomes NONE = new Outcomes(0, 0, 0);
@@ -30,6 +32,7 @@
     slow = Math.min(slow, total);
   }
 
+  /** Returns the number of bad outcomes; a request that failed and was slow counts twice. */
   long bad() {
     return failures + slow;
   }
@@ -38,6 +41,7 @@
     return new Outcomes(total + other.total, failures + other.failures, slow + other.slow);
   }
 
+  /** Returns these outcomes without others; no count falls below 0. */
   Outcomes minus(Outcomes other) {
     return new Outcomes(
         Math.max(0, total - other.total),
@@ -45,12 +49,16 @@
         Math.max(0, slow - other.slow));
   }
 
-  /** Returns fewer requests of the same mix, with no more bad ones of a kind than a number. */
-  Outcomes atMost(long bad) {
-    long most = Math.max(failures, slow);
-    if (most <= bad) {
+  /**
+   * Scales the counts down, in the same proportions, so that there are at most {@code maxBad}
+   * failures and at most {@code maxBad} slow requests.
+   */
+  Outcomes atMost(long maxBad) {
+    long worst = Math.max(failures, slow);
+    if (worst <= maxBad) {
       return this;
     }
-    return new Outcomes((total * bad + most - 1) / most, failures * bad / most, slow * bad / most);
+    return new Outcomes(
+        (total * maxBad + worst - 1) / worst, failures * maxBad / worst, slow * maxBad / worst);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/RecentOutcomes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/RecentOutcomes.java
@@ -17,15 +17,18 @@
 
 import org.landingtrack.internal.base.SlidingCount;
 
-/** Outcomes of the last seconds at one server, as one VM saw them. */
+/** Sliding-window counts of the outcomes that this VM saw at one server. Not thread-safe. */
 final class RecentOutcomes {
   /**
-   * Long enough for 15 requests at a server that gets a few a second: so many tell one that fails
-   * two in five from a sound one.
+   * Length of the long window. A server that gets a few requests a second has 15 of them in it,
+   * enough to tell a server that fails two in five from a healthy one.
    */
   static final long WINDOW_MS = 3_000;
 
-  /** What a server that fails all did since: some requests, and none from before for long. */
+  /**
+   * Length of the short window. It has some requests of a server that fails all of them, and the
+   * successes from before the failure soon drop out of it.
+   */
   static final long LATEST_MS = 1_000;
 
   private static final long SLOT_MS = 250;
@@ -34,6 +37,7 @@
   private final SlidingCount failures = new SlidingCount(WINDOW_MS, SLOT_MS);
   private final SlidingCount slow = new SlidingCount(WINDOW_MS, SLOT_MS);
 
+  /** Counts a request, whatever its outcome. */
   void addTotal(long nowMs) {
     total.add(1, nowMs);
   }
@@ -46,12 +50,15 @@
     slow.add(1, nowMs);
   }
 
+  /** Returns the outcomes in both windows. */
   Evidence sum(long nowMs) {
     return new Evidence(within(LATEST_MS, nowMs), within(WINDOW_MS, nowMs));
   }
 
-  private Outcomes within(long ms, long nowMs) {
+  private Outcomes within(long windowMs, long nowMs) {
     return new Outcomes(
-        total.atMost(ms, nowMs), failures.atMost(ms, nowMs), slow.atMost(ms, nowMs));
+        total.atMost(windowMs, nowMs),
+        failures.atMost(windowMs, nowMs),
+        slow.atMost(windowMs, nowMs));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/ServerOutcomes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/ServerOutcomes.java
@@ -26,20 +26,31 @@
 import org.landingtrack.internal.loads.Tally;
 
 /**
- * What this VM saw of servers lately, and what of it counts for all VMs. Its word is bounded, so
- * that no VM ejects a server alone; one that sees faults at many servers is in trouble itself.
+ * Recent outcomes of this VM's requests by server, and the part of them that it reports to all VMs.
+ * The bad outcomes that one VM may report of a server are limited, so that no VM can cause an
+ * ejection alone. A VM that sees faults at many servers reports nothing, since the fault is more
+ * likely its own. Not thread-safe.
  */
 final class ServerOutcomes {
-  /** Looks are a tenth of a second apart; this VM stood still if they are not. */
+  /**
+   * Longest regular time between two calls of {@link #look}, which come at least every 100 ms.
+   * After a longer gap this VM is taken to have been paused.
+   */
   private static final long STILL_MS = 500;
 
-  /** Bad outcomes of a server that a VM may tell of; two VMs at least are needed to eject it. */
+  /**
+   * Failures, and slow requests, of a server that one VM may report. With this limit at least two
+   * VMs are needed to eject a server.
+   */
   private static final long MOST_BAD = 2;
 
-  /** So many bad outcomes are enough together, where there are fewer than three VMs. */
+  /**
+   * Bad outcomes that suffice for an ejection. With fewer than three VMs each may report its part
+   * of them, more than {@link #MOST_BAD}.
+   */
   private static final int ENOUGH_BAD = 6;
 
-  /** As large a part of the servers may be at fault at once; beyond it this VM is. */
+  /** Largest share of servers that may be faulty at once; beyond it this VM itself is faulty. */
   private static final double TROUBLE_SHARE = 0.3;
 
   private final UsualTimes usual = new UsualTimes();
@@ -47,6 +58,7 @@
   private final Map<Long, Seen> seen = new HashMap<>();
   private long lookedAtMs = Long.MIN_VALUE;
 
+  /** An attempt that is not closed yet. */
   private static final class Send {
     private final Work work;
     private final long atMs;
@@ -54,6 +66,8 @@
     private boolean counted;
     private boolean slow;
     private boolean failed;
+
+    /** True if this VM was paused during the attempt, so that the time taken means nothing. */
     private boolean excused;
 
     Send(Work work, long atMs) {
@@ -62,6 +76,7 @@
     }
   }
 
+  /** Outcomes at one server. */
   private static final class Seen {
     private final long service;
     private final RecentOutcomes recent = new RecentOutcomes();
@@ -71,60 +86,66 @@
     }
   }
 
-  /** Notes a send. {@code send} is only compared by identity. */
-  void sent(Object send, Work work, long nowMs) {
-    sends.put(send, new Send(work, nowMs));
+  /** Records an attempt. {@code attempt} is only compared by identity. */
+  void sent(Object attempt, Work work, long nowMs) {
+    sends.put(attempt, new Send(work, nowMs));
   }
 
-  /** Notes that the server answers, or began to; returns true if it is the first word of it. */
-  boolean answered(Object send, long nowMs) {
-    Send of = sends.get(send);
-    if (of == null || of.begun) {
+  /**
+   * Records that the server answered, or began to; returns true for the first such call of an
+   * attempt.
+   */
+  boolean answered(Object attempt, long nowMs) {
+    Send pending = sends.get(attempt);
+    if (pending == null || pending.begun) {
       return false;
     }
-    of.begun = true;
-    long tookMs = nowMs - of.atMs;
-    if (!of.excused) {
-      judge(of, tookMs, nowMs);
-      usual.add(of.work.kind(), tookMs / of.work.units());
+    pending.begun = true;
+    long tookMs = nowMs - pending.atMs;
+    if (!pending.excused) {
+      judge(pending, tookMs, nowMs);
+      usual.add(pending.work.kind(), tookMs / pending.work.units());
     }
-    count(of, nowMs);
+    count(pending, nowMs);
     return true;
   }
 
-  /** Notes a failure that is the server's fault. */
-  void failed(Object send, long nowMs) {
-    Send of = sends.get(send);
-    if (of != null && !of.failed) {
-      fail(of, nowMs);
+  /** Records a failure that is the server's fault. */
+  void failed(Object attempt, long nowMs) {
+    Send pending = sends.get(attempt);
+    if (pending != null && !pending.failed) {
+      fail(pending, nowMs);
     }
   }
 
-  /** Notes that nothing more is heard of a send. */
-  void over(Object send) {
-    sends.remove(send);
+  /** Removes an attempt; no further event of it follows. */
+  void over(Object attempt) {
+    sends.remove(attempt);
   }
 
-  /** Counts what waits for too long; call it in each round. */
+  /**
+   * Counts attempts that have been waiting for too long; call it at least every 100 ms. Attempts
+   * that waited while this VM was paused are not counted by their time.
+   */
   void look(long nowMs) {
-    boolean stoodStill = lookedAtMs != Long.MIN_VALUE && nowMs - lookedAtMs > STILL_MS;
+    boolean wasPaused = lookedAtMs != Long.MIN_VALUE && nowMs - lookedAtMs > STILL_MS;
     lookedAtMs = nowMs;
     for (Send send : sends.values()) {
-      send.excused |= stoodStill;
+      send.excused |= wasPaused;
       if (!send.begun && !send.failed && !send.excused) {
         judge(send, nowMs - send.atMs, nowMs);
       }
     }
   }
 
-  private void judge(Send send, long ms, long nowMs) {
+  private void judge(Send send, long elapsedMs, long nowMs) {
     double usualMs = usual.msPerUnit(send.work.kind());
-    if (!send.slow && send.work.isSlow(ms, usualMs)) {
+    if (!send.slow && send.work.isSlow(elapsedMs, usualMs)) {
       send.slow = true;
       count(send, nowMs);
       of(send.work).recent.addSlow(nowMs);
     }
-    if (!send.failed && send.work.isLost(ms, usualMs)) {
+    if (!send.failed && send.work.isLost(elapsedMs, usualMs)) {
       fail(send, nowMs);
     }
   }
@@ -143,48 +164,50 @@
   }
 
   private Seen of(Work work) {
-    return seen.computeIfAbsent(work.server(), start -> new Seen(work.service()));
+    return seen.computeIfAbsent(work.server(), server -> new Seen(work.service()));
   }
 
   /**
-   * Returns what counts of it for all VMs, by servers and services.
+   * Returns what this VM reports to all VMs: one tally for each server and each service.
    *
-   * @param vms how many VMs there are
-   * @param words what is to be said of some servers besides
+   * @param vms number of VMs
+   * @param countsOf returns the ejection counts of a server
+   * @param withCounts servers that are reported for their ejection counts even without outcomes
    */
-  List<Tally> tallies(int vms, LongFunction<Word> words, Iterable<Long> wordsOf, long nowMs) {
+  List<Tally> tallies(int vms, LongFunction<Word> countsOf, Iterable<Long> withCounts, long nowMs) {
     Map<Long, Evidence> servers = evidence(vms, nowMs);
     Map<Long, Evidence> services = new HashMap<>();
     servers.forEach(
         (server, outcomes) -> services.merge(serviceOf(server), outcomes, Evidence::plus));
-    wordsOf.forEach(server -> servers.putIfAbsent(server, Evidence.NONE));
+    withCounts.forEach(server -> servers.putIfAbsent(server, Evidence.NONE));
     List<Tally> tallies = new ArrayList<>();
     servers.forEach(
-        (server, outcomes) -> tallies.add(outcomes.ofServer(server, words.apply(server))));
+        (server, outcomes) -> tallies.add(outcomes.ofServer(server, countsOf.apply(server))));
     services.forEach((service, outcomes) -> tallies.add(outcomes.ofService(service)));
     return tallies;
   }
 
   private long serviceOf(long server) {
-    Seen of = seen.get(server);
-    return of == null ? 0 : of.service;
+    Seen history = seen.get(server);
+    return history == null ? 0 : history.service;
   }
 
   private Map<Long, Evidence> evidence(int vms, long nowMs) {
     Map<Long, Evidence> evidence = new HashMap<>();
-    long most = vms == 1 ? Long.MAX_VALUE : Math.max(MOST_BAD, (ENOUGH_BAD + vms - 1) / vms);
+    long maxBad = vms == 1 ? Long.MAX_VALUE : Math.max(MOST_BAD, (ENOUGH_BAD + vms - 1) / vms);
     int faulty = 0;
-    for (Iterator<Map.Entry<Long, Seen>> all = seen.entrySet().iterator(); all.hasNext(); ) {
-      Map.Entry<Long, Seen> each = all.next();
-      Evidence outcomes = each.getValue().recent.sum(nowMs);
+    for (Iterator<Map.Entry<Long, Seen>> entries = seen.entrySet().iterator();
+        entries.hasNext(); ) {
+      Map.Entry<Long, Seen> entry = entries.next();
+      Evidence outcomes = entry.getValue().recent.sum(nowMs);
       if (outcomes.window().total() == 0) {
-        all.remove();
+        entries.remove();
         continue;
       }
       faulty += outcomes.hasFaults() ? 1 : 0;
-      evidence.put(each.getKey(), outcomes.atMost(most));
+      evidence.put(entry.getKey(), outcomes.atMost(maxBad));
     }
-    boolean isInTrouble = faulty > Math.max(1, TROUBLE_SHARE * evidence.size());
-    return isInTrouble ? new HashMap<>() : evidence;
+    boolean isVmFaulty = faulty > Math.max(1, TROUBLE_SHARE * evidence.size());
+    return isVmFaulty ? new HashMap<>() : evidence;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/SharedHealth.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/SharedHealth.java
@@ -34,17 +34,21 @@
 import org.landingtrack.internal.loads.Tally;
 
 /**
- * Which servers are ejected by what all VMs saw of them. Each VM decides for itself, by the same
- * sums and the same rule; one that started anew takes over what others hold. Not thread-safe.
+ * Ejects servers by the outcomes that all VMs saw. Each VM decides for itself, from the same sums
+ * and by the same rule; a VM that has just started adopts the ejections of the others. Not
+ * thread-safe.
  */
 public final class SharedHealth {
-  /** Between two decisions; news come ten times a second. */
+  /**
+   * Least time between two decisions, unless this VM probes a server or has a probe answered;
+   * reports of other VMs arrive ten times a second.
+   */
   private static final long JUDGE_EVERY_MS = 50;
 
-  /** What became of a try is told for several rounds of news. */
+  /** How long a probe and its success are reported, which is several rounds of reports. */
   private static final long TOLD_MS = 1_500;
 
-  /** So many VMs that found out by themselves are believed. */
+  /** Number of other VMs that must have ejected a server before this one adopts the ejection. */
   private static final int BELIEVED_HOLDERS = 2;
 
   private final Ticker ticker;
@@ -60,26 +64,28 @@
   private long judgedAtMs = Long.MIN_VALUE;
 
   /**
-   * A service and the starts of its servers that are not gone.
+   * A service and the current incarnations of its servers.
    *
    * @param service hash of its name
+   * @param starts hashes of the incarnations; servers that are gone are left out
    */
   public record ServiceStarts(long service, List<Long> starts) {}
 
-  /** Hears of changes. */
+  /** Receives the ejections and reinstatements that this VM decides. */
   public interface Listener {
-    /** This VM found a server to be at fault. */
-    void ejected(long server, String why);
+    /** Called when this VM ejects a server. */
+    void ejected(long server, String reason);
 
-    /** A server that this VM had ejected may have requests again. */
-    void released(long server, String why);
+    /** Called when a server that this VM had ejected may get requests again. */
+    void released(long server, String reason);
   }
 
   /**
-   * Creates a view that has seen nothing.
+   * Creates a view without any outcomes.
    *
-   * @param tally begins to tell what this VM counts of servers, and returns the sums
-   * @param services asked when there are servers with faults
+   * @param tally registers this VM's tallies for the reports to other VMs and returns the sums of
+   *     all VMs
+   * @param services returns the services; called only while some server has faults or is ejected
    */
   public SharedHealth(
       Ticker ticker,
@@ -94,30 +100,30 @@
     this.sums = tally.apply(this::own);
   }
 
-  /** Notes a send. {@code send} is only compared by identity. */
-  public void sent(Object send, Work work) {
-    outcomes.sent(send, work, ticker.millis());
+  /** Records an attempt. {@code attempt} is only compared by identity. */
+  public void sent(Object attempt, Work work) {
+    outcomes.sent(attempt, work, ticker.millis());
   }
 
-  /** Notes the first word of an answer that is no failure of the server. */
-  public void answered(Object send, long server) {
-    if (outcomes.answered(send, ticker.millis()) && probedAtMs.containsKey(server)) {
+  /** Records the first event of an answer that is no failure of the server. */
+  public void answered(Object attempt, long server) {
+    if (outcomes.answered(attempt, ticker.millis()) && probedAtMs.containsKey(server)) {
       provedAtMs.put(server, ticker.millis());
       judgedAtMs = Long.MIN_VALUE;
     }
   }
 
-  /** Notes a failure that is the server's fault. */
-  public void failed(Object send) {
-    outcomes.failed(send, ticker.millis());
+  /** Records a failure that is the server's fault. */
+  public void failed(Object attempt) {
+    outcomes.failed(attempt, ticker.millis());
   }
 
-  /** Notes that nothing more is heard of a send. */
-  public void over(Object send) {
-    outcomes.over(send);
+  /** Removes an attempt; no further event of it follows. */
+  public void over(Object attempt) {
+    outcomes.over(attempt);
   }
 
-  /** Returns true if a server gets requests only as a last resort, or to try it. */
+  /** Returns true if a server gets requests only as a last resort or as probes. */
   public boolean isEjected(long server) {
     judge();
     return !held.isEmpty() && held.contains(server);
@@ -129,7 +135,7 @@
     return held.size();
   }
 
-  /** Returns true if it is this VM's turn to try an ejected server with a request. */
+  /** Returns true if it is this VM's turn to probe an ejected server with a request. */
   public boolean mayProbe(long server) {
     judge();
     Ejection ejection = ejections.get(server);
@@ -137,26 +143,27 @@
     return ejection != null && ejection.isDue(now) && peers.isChosen(ejection.turn(now));
   }
 
-  /** Notes that this VM tries an ejected server now. */
+  /** Records that this VM probes an ejected server now. */
   public void probes(long server) {
     probedAtMs.put(server, ticker.millis());
     judgedAtMs = Long.MIN_VALUE;
   }
 
+  /** Returns the tallies that this VM reports. */
   private List<Tally> own() {
     long now = ticker.millis();
     outcomes.look(now);
     probedAtMs.values().removeIf(at -> now - at > TOLD_MS);
     provedAtMs.values().removeIf(at -> now - at > TOLD_MS);
-    Set<Long> said = new HashSet<>(probedAtMs.keySet());
-    said.addAll(provedAtMs.keySet());
+    Set<Long> reported = new HashSet<>(probedAtMs.keySet());
+    reported.addAll(provedAtMs.keySet());
     ejections.forEach(
         (server, ejection) -> {
           if (ejection.isHeld()) {
-            said.add(server);
+            reported.add(server);
           }
         });
-    return outcomes.tallies(peers.vmsAtMost(), this::word, said, now);
+    return outcomes.tallies(peers.vmsAtMost(), this::word, reported, now);
   }
 
   private Word word(long server) {
@@ -167,7 +174,7 @@
         provedAtMs.containsKey(server) ? 1 : 0);
   }
 
-  /** Decides anew, if the last decision is old. */
+  /** Decides again if the last decision is older than {@link #JUDGE_EVERY_MS}. */
   private void judge() {
     long now = ticker.millis();
     if (judgedAtMs != Long.MIN_VALUE && now - judgedAtMs < JUDGE_EVERY_MS) {
@@ -181,16 +188,16 @@
       return;
     }
     Map<Long, Evidence> all = new HashMap<>();
-    Map<Long, Word> words = new HashMap<>();
-    others.values().forEach(tally -> add(all, words, tally));
-    own.forEach(tally -> add(all, words, tally));
+    Map<Long, Word> counts = new HashMap<>();
+    others.values().forEach(tally -> add(all, counts, tally));
+    own.forEach(tally -> add(all, counts, tally));
     ejections.values().removeIf(ejection -> ejection.isForgotten(now));
-    hear(all, words, now);
-    Set<Long> next = new HashSet<>();
+    hear(all, counts, now);
+    Set<Long> ejected = new HashSet<>();
     for (ServiceStarts service : services.get()) {
-      judge(service, all, words, others, next, now);
+      judge(service, all, counts, others, ejected, now);
     }
-    held = next;
+    held = ejected;
   }
 
   private static boolean anyFault(Collection<Tally> tallies) {
@@ -202,78 +209,86 @@
     return false;
   }
 
-  private static void add(Map<Long, Evidence> all, Map<Long, Word> words, Tally tally) {
+  private static void add(Map<Long, Evidence> all, Map<Long, Word> counts, Tally tally) {
     all.merge(tally.key(), Evidence.of(tally), Evidence::plus);
-    words.merge(tally.key(), Word.of(tally), Word::plus);
+    counts.merge(tally.key(), Word.of(tally), Word::plus);
   }
 
-  private void hear(Map<Long, Evidence> all, Map<Long, Word> words, long now) {
+  /** Updates the ejections in force with the probes that all VMs report. */
+  private void hear(Map<Long, Evidence> all, Map<Long, Word> counts, long now) {
     ejections.forEach(
         (server, ejection) -> {
           if (!ejection.isHeld()) {
             return;
           }
-          Word word = words.getOrDefault(server, Word.NONE);
-          switch (ejection.heard(word, all.getOrDefault(server, Evidence.NONE), now)) {
-            case PROVED -> listener.released(server, "it answered the request that tried it");
-            case UNTRIED -> listener.released(server, "no VM had a request to try it with");
+          Word countsOfServer = counts.getOrDefault(server, Word.NONE);
+          switch (ejection.heard(countsOfServer, all.getOrDefault(server, Evidence.NONE), now)) {
+            case PROVED -> listener.released(server, "it answered the request that probed it");
+            case UNTRIED -> listener.released(server, "no VM had a request to probe it with");
             case NONE -> {}
           }
         });
   }
 
+  /** Decides on the servers of one service and adds those that are ejected to {@code ejected}. */
   private void judge(
       ServiceStarts service,
       Map<Long, Evidence> all,
-      Map<Long, Word> words,
+      Map<Long, Word> counts,
       Map<Long, Tally> others,
       Set<Long> ejected,
       long now) {
-    int most = HealthPolicy.mostEjected(service.starts().size());
-    Evidence usual = all.getOrDefault(service.service(), Evidence.NONE);
-    List<Long> heldHere = new ArrayList<>();
-    List<Server> sound = new ArrayList<>();
-    for (long start : service.starts()) {
-      Evidence evidence = all.getOrDefault(start, Evidence.NONE);
-      Ejection ejection = ejections.get(start);
+    int maxEjected = HealthPolicy.mostEjected(service.starts().size());
+    Evidence baseline = all.getOrDefault(service.service(), Evidence.NONE);
+    List<Long> ejectedHere = new ArrayList<>();
+    List<Server> candidates = new ArrayList<>();
+    for (long incarnation : service.starts()) {
+      Evidence evidence = all.getOrDefault(incarnation, Evidence.NONE);
+      Ejection ejection = ejections.get(incarnation);
       if (ejection != null && ejection.isHeld()) {
-        heldHere.add(start);
-        usual = usual.minus(evidence);
+        ejectedHere.add(incarnation);
+        baseline = baseline.minus(evidence);
       } else if (evidence.hasFaults()) {
-        sound.add(new Server(start, ejection == null ? evidence : ejection.since(evidence, now)));
+        candidates.add(
+            new Server(incarnation, ejection == null ? evidence : ejection.since(evidence, now)));
       }
     }
-    for (Verdict verdict : HealthPolicy.judge(sound, usual, most - heldHere.size())) {
+    for (Verdict verdict :
+        HealthPolicy.judge(candidates, baseline, maxEjected - ejectedHere.size())) {
       long server = verdict.server().start();
       Ejection ejection =
-          ejections.computeIfAbsent(server, start -> new Ejection(start, service.service()));
-      ejection.begin(words.getOrDefault(server, Word.NONE), now);
-      heldHere.add(server);
+          ejections.computeIfAbsent(
+              server, incarnation -> new Ejection(incarnation, service.service()));
+      ejection.begin(counts.getOrDefault(server, Word.NONE), now);
+      ejectedHere.add(server);
       listener.ejected(server, verdict.reason());
     }
-    believe(service, others, heldHere, most);
-    ejected.addAll(heldHere);
+    believe(service, others, ejectedHere, maxEjected);
+    ejected.addAll(ejectedHere);
   }
 
-  /** Adds what other VMs hold, which a VM that just started or was cut off did not see. */
+  /**
+   * Adopts ejections of other VMs. A VM that has just started or was partitioned did not see the
+   * outcomes that led to them.
+   */
   private static void believe(
-      ServiceStarts service, Map<Long, Tally> others, List<Long> heldHere, int most) {
-    List<Long> believed = new ArrayList<>();
-    for (long start : service.starts()) {
-      if (holders(others, start) >= BELIEVED_HOLDERS && !heldHere.contains(start)) {
-        believed.add(start);
+      ServiceStarts service, Map<Long, Tally> others, List<Long> ejectedHere, int maxEjected) {
+    List<Long> adopted = new ArrayList<>();
+    for (long incarnation : service.starts()) {
+      if (holders(others, incarnation) >= BELIEVED_HOLDERS && !ejectedHere.contains(incarnation)) {
+        adopted.add(incarnation);
       }
     }
-    believed.sort(Comparator.comparingLong((Long start) -> -holders(others, start)));
-    for (long start : believed) {
-      if (heldHere.size() < most) {
-        heldHere.add(start);
+    adopted.sort(Comparator.comparingLong((Long incarnation) -> -holders(others, incarnation)));
+    for (long incarnation : adopted) {
+      if (ejectedHere.size() < maxEjected) {
+        ejectedHere.add(incarnation);
       }
     }
   }
 
-  private static long holders(Map<Long, Tally> others, long start) {
-    Tally tally = others.get(start);
+  private static long holders(Map<Long, Tally> others, long incarnation) {
+    Tally tally = others.get(incarnation);
     return tally == null ? 0 : Word.of(tally).holders();
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/UsualTimes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/UsualTimes.java
@@ -19,21 +19,28 @@
 import java.util.Map;
 
 /**
- * How long answers of each kind of request usually take on this VM: their median, which a few slow
- * servers hardly move.
+ * Estimates of the median time that answers to each kind of request take on this VM. A few slow
+ * servers hardly move a median. Not thread-safe.
  */
 final class UsualTimes {
-  /** Until so many were seen, nothing is known. */
+  /** Number of samples from which on the estimate is used. */
   private static final int MIN_SAMPLES = 8;
 
-  /** A sample moves the median by this factor, up or down: four times as long takes 28 of them. */
+  /**
+   * Factor by which each sample moves the estimate up or down. After times grow fourfold it takes
+   * 28 samples to follow.
+   */
   private static final double STEP = 1.05;
 
-  /** Kinds are routes; so many that a configuration which renames them all the time is harmless. */
+  /**
+   * Maximum number of kinds. Kinds are routes; the limit bounds the memory if the configuration
+   * renames routes all the time.
+   */
   private static final int MAX_KINDS = 2_000;
 
   private final Map<String, Median> medians = new HashMap<>();
 
+  /** Running estimate of a median. */
   private static final class Median {
     private double value;
     private int samples;
@@ -47,7 +54,7 @@
     }
   }
 
-  /** Notes how long an answer took for each unit of its work. */
+  /** Adds a sample: the time that an answer took per unit of work. */
   void add(String kind, double msPerUnit) {
     if (medians.size() >= MAX_KINDS && !medians.containsKey(kind)) {
       medians.clear();
@@ -55,7 +62,7 @@
     medians.computeIfAbsent(kind, name -> new Median()).add(Math.max(Double.MIN_NORMAL, msPerUnit));
   }
 
-  /** Returns the usual time for a unit of work, or 0 if it is not known yet. */
+  /** Returns the median time per unit of work, in milliseconds, or 0 if it is not known yet. */
   double msPerUnit(String kind) {
     Median median = medians.get(kind);
     return median == null || median.samples < MIN_SAMPLES ? 0 : median.value;
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/Work.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/Work.java
@@ -16,35 +16,49 @@
 package org.landingtrack.internal.health;
 
 /**
- * What a request is expected to be for the server that it is sent to.
+ * Expected work of a request at the server that it is sent to, by which its time is rated.
  *
  * @param service hash of the service's name
- * @param server hash of the server's start
- * @param kind requests of one kind are alike
- * @param units the expected work, with what comes before it, in any unit that the kind keeps to
- * @param targetMs within which callers want an answer, or the first event of one
+ * @param server hash of the server's incarnation
+ * @param kind name of a group of similar requests, whose times are compared with each other
+ * @param units expected work, including that of requests ahead of it, in any unit that is the same
+ *     for all requests of the kind
+ * @param targetMs target latency: time within which callers want an answer, or its first event
  */
 public record Work(long service, long server, String kind, double units, long targetMs) {
-  /** What takes so many times as long as usual is slow. */
+  /** A request is slow only if it takes this many times as long as usual. */
   private static final double SLOW_FACTOR = 4;
 
-  /** And callers notice it, since it costs them this share of their target. */
+  /**
+   * A request is slow only if it takes this share of the target longer than usual, which callers
+   * notice.
+   */
   private static final double SLOW_SHARE = 0.25;
 
   /**
-   * Returns true if a request waits for so long that its caller has lost it: its target is missed,
-   * and that by the server.
+   * Returns true if a request has been waiting for so long that it counts as failed: its target is
+   * missed, and the server is the cause.
+   *
+   * @param usualMsPerUnit usual time per unit of work, or 0 if it is not known; then only twice the
+   *     target counts
    */
-  boolean isLost(long ms, double usualMsPerUnit) {
-    return usualMsPerUnit == 0 ? ms > 2 * targetMs : ms > targetMs && isSlow(ms, usualMsPerUnit);
+  boolean isLost(long elapsedMs, double usualMsPerUnit) {
+    return usualMsPerUnit == 0
+        ? elapsedMs > 2 * targetMs
+        : elapsedMs > targetMs && isSlow(elapsedMs, usualMsPerUnit);
   }
 
-  /** Returns true if an answer is slow, or a request waits for too long already. */
-  boolean isSlow(long ms, double usualMsPerUnit) {
+  /**
+   * Returns true if an answer was slow, or a request has already been waiting for too long.
+   *
+   * @param usualMsPerUnit usual time per unit of work, or 0 if it is not known; then the target is
+   *     the limit
+   */
+  boolean isSlow(long elapsedMs, double usualMsPerUnit) {
     if (usualMsPerUnit == 0) {
-      return ms > targetMs;
+      return elapsedMs > targetMs;
     }
     double usualMs = usualMsPerUnit * units;
-    return ms > SLOW_FACTOR * usualMs && ms > usualMs + SLOW_SHARE * targetMs;
+    return elapsedMs > SLOW_FACTOR * usualMs && elapsedMs > usualMs + SLOW_SHARE * targetMs;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/package-info.java
@@ -14,8 +14,9 @@
  * limitations under the License.
  */
 /**
- * Judges backend servers by the outcomes that all VMs see: who is ejected, and who tries an ejected
- * server again. No I/O but by what is handed in.
+ * Outlier ejection of backend servers by the outcomes that all VMs see: which servers are ejected,
+ * and which VM probes an ejected server. The package does no I/O of its own; callers pass in what
+ * sends and receives.
  */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.health;
--- a/landingtrack/src/test/java/org/landingtrack/internal/health/EjectionTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/health/EjectionTest.java
@@ -23,7 +23,7 @@
 import org.landingtrack.internal.health.Evidence.Word;
 import org.testng.annotations.Test;
 
-/** When an ejected server is tried again, and what is believed of it afterwards. */
+/** Tests the probe delays of an ejected server and which outcomes count after reinstatement. */
 public final class EjectionTest {
   private static final Word HELD = new Word(10, 0, 0);
   private static final Word PROBED = new Word(10, 1, 0);
@@ -42,7 +42,7 @@
     assertTrue(ejection.isDue(1_000));
     assertEquals(ejection.heard(PROBED, Evidence.NONE, 1_100), Change.NONE);
     assertFalse(ejection.isDue(3_099));
-    assertEquals(ejection.heard(PROBED, Evidence.NONE, 1_200), Change.NONE, "the same one");
+    assertEquals(ejection.heard(PROBED, Evidence.NONE, 1_200), Change.NONE, "the same probe");
     assertTrue(ejection.isDue(3_100));
   }
 
--- a/landingtrack/src/test/java/org/landingtrack/internal/health/HealthFleet.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/health/HealthFleet.java
@@ -29,8 +29,9 @@
 import org.landingtrack.internal.serving.ManualLoop;
 
 /**
- * Some VMs with callers before the servers of one service, on one clock, which tell each other what
- * they saw as they do over the network. Servers are drawn for requests by weights. Seeded.
+ * Simulated fleet: entry VMs with callers, and the servers of one service, on one clock. The VMs
+ * exchange tallies with delay and loss as over the network. Each request goes to a server drawn by
+ * weight. Results depend only on the seed.
  */
 final class HealthFleet {
   static final long TARGET_MS = 300;
@@ -46,13 +47,13 @@
   private final Random random;
   private final double perSecond;
 
-  /** How a server fails requests. */
+  /** The way in which a server fails requests. */
   enum Fault {
     ANSWERS_500,
     HANGS
   }
 
-  /** A server, and what it does to requests. */
+  /** A server with its fault. */
   static final class Server {
     final long start;
     final double weight;
@@ -60,7 +61,7 @@
     Fault fault = Fault.ANSWERS_500;
     int slowness = 1;
 
-    /** Requests whose failure has shown: a failed answer came, or the target was missed. */
+    /** Requests that failed visibly: an error answer arrived, or the target was missed. */
     int failures;
 
     int probes;
@@ -78,7 +79,7 @@
     final Map<Long, Integer> ejections = new HashMap<>();
     SharedHealth health;
 
-    /** Servers from which nothing comes back to it. */
+    /** Servers whose answers do not reach this VM. */
     Predicate<Server> unreachable = server -> false;
 
     Entry(int number, double share) {
@@ -96,22 +97,27 @@
           this);
     }
 
-    /** All that it knew is lost. */
+    /** Restarts the VM, which loses its state. */
     void restart() {
       vm.restart(vms.stream().map(each -> each.vm).toList());
       health = start();
     }
 
     @Override
-    public void ejected(long server, String why) {
+    public void ejected(long server, String reason) {
       ejections.merge(server, 1, Integer::sum);
     }
 
     @Override
-    public void released(long server, String why) {}
+    public void released(long server, String reason) {}
   }
 
-  /** Creates a fleet that has served for a while; servers get shares from 1 to {@code skew}. */
+  /**
+   * Creates a fleet and runs it for the warm-up time.
+   *
+   * @param perSecond requests a second of the whole fleet
+   * @param skew servers and VMs get weights from 1 to this number
+   */
   HealthFleet(int vmCount, int serverCount, double perSecond, double skew, long seed) {
     this.random = new Random(seed);
     this.perSecond = perSecond;
@@ -129,7 +135,7 @@
     loop.advance(WARM_UP_MS);
   }
 
-  /** Returns at how many VMs a server is ejected. */
+  /** Returns the number of VMs at which a server is ejected. */
   int ejectedAt(Server server) {
     int count = 0;
     for (Entry vm : vms) {
@@ -138,7 +144,7 @@
     return count;
   }
 
-  /** Returns how often any VM ejected a server. */
+  /** Returns how often VMs ejected a server, in total. */
   int ejections(Server server) {
     int count = 0;
     for (Entry vm : vms) {
@@ -147,9 +153,13 @@
     return count;
   }
 
-  /** Plays until all VMs have a server ejected, or none; returns how long that took, or -1. */
-  long playUntil(Server server, boolean ejected, long mostMs) {
-    for (long ms = 0; ms <= mostMs; ms += 10) {
+  /**
+   * Runs until all VMs have a server ejected, or none has.
+   *
+   * @return the time that it took, in ms, or -1 if it took more than {@code maxMs}
+   */
+  long playUntil(Server server, boolean ejected, long maxMs) {
+    for (long ms = 0; ms <= maxMs; ms += 10) {
       if (ejectedAt(server) == (ejected ? vms.size() : 0)) {
         return ms;
       }
@@ -170,10 +180,10 @@
   }
 
   private Entry drawVm() {
-    double left = random.nextDouble() * vms.stream().mapToDouble(vm -> vm.share).sum();
+    double remaining = random.nextDouble() * vms.stream().mapToDouble(vm -> vm.share).sum();
     for (Entry vm : vms) {
-      left -= vm.share;
-      if (left < 0) {
+      remaining -= vm.share;
+      if (remaining < 0) {
         return vm;
       }
     }
@@ -195,21 +205,21 @@
   private Server drawServer(Entry vm) {
     List<Server> usable = new ArrayList<>(servers);
     usable.removeIf(server -> vm.health.isEjected(server.start));
-    double left = random.nextDouble() * usable.stream().mapToDouble(s -> s.weight).sum();
+    double remaining = random.nextDouble() * usable.stream().mapToDouble(s -> s.weight).sum();
     for (Server server : usable) {
-      left -= server.weight;
-      if (left < 0) {
+      remaining -= server.weight;
+      if (remaining < 0) {
         return server;
       }
     }
     return usable.get(usable.size() - 1);
   }
 
-  private void send(Entry vm, Server server, long giveUpMs) {
-    Object send = new Object();
+  private void send(Entry vm, Server server, long timeoutMs) {
+    Object attempt = new Object();
     SharedHealth health = vm.health;
-    health.sent(send, new Work(SERVICE, server.start, "kind", 1, TARGET_MS));
-    EventLoop.Timer givesUp = loop.schedule(giveUpMs, () -> health.over(send));
+    health.sent(attempt, new Work(SERVICE, server.start, "kind", 1, TARGET_MS));
+    EventLoop.Timer timeout = loop.schedule(timeoutMs, () -> health.over(attempt));
     boolean isUnreachable = vm.unreachable.test(server);
     boolean fails = isUnreachable || random.nextDouble() < server.failing;
     if (server.slowness > 1 || (fails && server.fault == Fault.HANGS)) {
@@ -219,32 +229,32 @@
       return;
     }
     long workMs = fails ? 0 : Math.round(server.slowness * WORK_MS * (0.7 + random.nextDouble()));
-    end(vm, health, send, server, fails, givesUp, workMs + 2 * ONE_WAY_MS);
+    end(vm, health, attempt, server, fails, timeout, workMs + 2 * ONE_WAY_MS);
   }
 
   private void end(
       Entry vm,
       SharedHealth health,
-      Object send,
+      Object attempt,
       Server server,
       boolean fails,
-      EventLoop.Timer givesUp,
-      long inMs) {
+      EventLoop.Timer timeout,
+      long delayMs) {
     loop.schedule(
-        inMs,
+        delayMs,
         () -> {
           if (vm.vm.stillMs() > 0) {
-            end(vm, health, send, server, fails, givesUp, vm.vm.stillMs());
+            end(vm, health, attempt, server, fails, timeout, vm.vm.stillMs());
             return;
           }
-          givesUp.cancel();
+          timeout.cancel();
           if (fails) {
             server.failures++;
-            health.failed(send);
+            health.failed(attempt);
           } else {
-            health.answered(send, server.start);
+            health.answered(attempt, server.start);
           }
-          health.over(send);
+          health.over(attempt);
         });
   }
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/health/HealthFleetTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/health/HealthFleetTest.java
@@ -26,21 +26,25 @@
 import org.testng.annotations.Test;
 
 /**
- * VMs before the servers of one service, most with news by way of hubs. Each VM alone found a
- * failing server after three failures in a row, so that a bad server cost hundreds of requests, and
- * one that failed two in five or was slow was never found.
+ * Tests shared ejection in a simulated fleet, in most tests one whose VMs exchange tallies through
+ * hubs. Guards against ejection by each VM alone after three failures in a row: a server that
+ * failed everything cost hundreds of requests, and one that failed two in five or was slow was
+ * never ejected.
  */
 public final class HealthFleetTest {
   private static final int VMS = 74;
   private static final int SERVERS = 63;
   private static final double PER_SECOND = 423;
 
-  /** Within which all VMs know what one of them found, or have a server back that one tried. */
+  /**
+   * Time within which all VMs have ejected a server that one of them ejected, or have reinstated
+   * one that answered a probe.
+   */
   private static final long KNOWN_MS = 1_000;
 
   private static final int MOST_FAILURES = 10;
 
-  /** A server is tried again at most 8 s after the last time, and VMs take turns in that. */
+  /** Longest probe delay of 8 s, and some turns of VMs. */
   private static final long BACK_MS = 10_000;
 
   @DataProvider
@@ -56,8 +60,8 @@
     expectKnown(fleet, fleet.servers.get(2), 0.4, Fault.ANSWERS_500, 1);
     expectKnown(fleet, fleet.servers.get(3), 0.4, Fault.HANGS, 1);
     expectKnown(fleet, fleet.servers.get(4), 0, Fault.HANGS, 8);
-    for (Server sound : fleet.servers.subList(5, SERVERS)) {
-      assertEquals(fleet.ejections(sound), 0);
+    for (Server healthy : fleet.servers.subList(5, SERVERS)) {
+      assertEquals(fleet.ejections(healthy), 0);
     }
   }
 
@@ -70,9 +74,9 @@
       fleet.loop.advance(10);
     }
     long spreadMs = fleet.playUntil(server, true, KNOWN_MS);
-    String what = fault + " " + failing + ", slow " + slowness + ": " + server.failures;
-    assertTrue(spreadMs >= 0, what);
-    assertTrue(server.failures <= MOST_FAILURES, what);
+    String details = fault + " " + failing + ", slow " + slowness + ": " + server.failures;
+    assertTrue(spreadMs >= 0, details);
+    assertTrue(server.failures <= MOST_FAILURES, details);
   }
 
   @Test
@@ -83,14 +87,14 @@
     assertTrue(fleet.playUntil(server, true, 5_000) >= 0);
     int before = server.failures;
     fleet.loop.advance(20_000);
-    // After 1, 2, 4 and 8 s, and two VMs at most that do not yet know of each other.
+    // Probes come after 1, 2, 4 and 8 s, each from at most two VMs that do not know of each other.
     assertTrue(server.probes >= 2 && server.probes <= 8, "probes " + server.probes);
     assertTrue(server.failures - before <= 8 + VMS / 10, "failures " + server.failures);
     server.failing = 0;
     assertTrue(fleet.playUntil(server, false, BACK_MS) >= 0);
     int ejections = fleet.ejections(server);
     fleet.loop.advance(5_000);
-    assertEquals(fleet.ejections(server), ejections, "what was before must not eject it again");
+    assertEquals(fleet.ejections(server), ejections, "earlier outcomes must not eject it again");
   }
 
   @Test
@@ -103,20 +107,20 @@
     assertTrue(fleet.playUntil(server, false, BACK_MS) >= 0);
     int ejections = fleet.ejections(server);
     fleet.loop.advance(5_000);
-    assertEquals(fleet.ejections(server), ejections, "what was before must not eject it again");
+    assertEquals(fleet.ejections(server), ejections, "earlier outcomes must not eject it again");
   }
 
   @Test
   public void aServerThatGoesDownAndUpIsTriedLessEachTime() {
     HealthFleet fleet = new HealthFleet(VMS, SERVERS, PER_SECOND, 1, 8);
     Server server = fleet.servers.get(8);
-    for (int turn = 0; turn < 10; turn++) {
+    for (int outage = 0; outage < 10; outage++) {
       server.failing = 1;
       fleet.loop.advance(2_000);
       server.failing = 0;
       fleet.loop.advance(2_000);
     }
-    // Without ejection some 13 requests fail in each of the ten times.
+    // Without ejection some 13 requests fail in each of the ten outages.
     assertTrue(server.failures <= 65, "failures " + server.failures);
     assertTrue(fleet.playUntil(server, false, BACK_MS) >= 0);
   }
@@ -139,9 +143,9 @@
   }
 
   @Test(dataProvider = "parts")
-  public void aPartOfAServiceThatFailsIsNotEjectedBeyondTheBound(int part, Fault fault) {
+  public void aPartOfAServiceThatFailsIsNotEjectedBeyondTheBound(int failing, Fault fault) {
     HealthFleet fleet = new HealthFleet(VMS, SERVERS, PER_SECOND, 1, 10);
-    for (Server server : fleet.servers.subList(0, part)) {
+    for (Server server : fleet.servers.subList(0, failing)) {
       server.failing = 1;
       server.fault = fault;
     }
@@ -157,7 +161,7 @@
     }
   }
 
-  /** A VM whose link is down sees all servers fail; a third of the VMs may be so at once. */
+  /** A VM whose link is down sees all servers fail. Here a third of the VMs do at once. */
   @Test
   public void vmsThatAreInTroubleEjectNobody() {
     HealthFleet fleet = new HealthFleet(VMS, SERVERS, PER_SECOND, 3, 11);
@@ -168,7 +172,7 @@
     expectNobodyEjected(fleet);
   }
 
-  /** Half of the VMs can't reach the servers of a data centre, which the others find sound. */
+  /** Half of the VMs can't reach the servers of a data centre, which are healthy for the others. */
   @Test
   public void vmsThatMissSomeServersEjectNobody() {
     HealthFleet fleet = new HealthFleet(VMS, SERVERS, PER_SECOND, 1, 16);
--- a/landingtrack/src/test/java/org/landingtrack/internal/health/HealthPolicyTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/health/HealthPolicyTest.java
@@ -25,7 +25,7 @@
 import org.landingtrack.internal.health.HealthPolicy.Verdict;
 import org.testng.annotations.Test;
 
-/** Which servers are ejected by the sums of all VMs. */
+/** Tests which servers are ejected for given outcomes of all VMs. */
 public final class HealthPolicyTest {
   private static final int FLEETS = 1_000;
   private static final long PLAY_MS = 10_000;
@@ -52,12 +52,12 @@
 
   @Test
   public void fewFailuresAreEnoughWhereOthersHaveNone() {
-    Evidence sound = evidence(20, 0, 0);
-    assertEquals(ejected(sound, evidence(4, 4, 0), sound), List.of(1L));
-    assertEquals(ejected(sound, evidence(11, 5, 0), sound), List.of(1L));
-    assertEquals(ejected(sound, evidence(3, 3, 0), sound), List.of());
-    assertEquals(ejected(sound, evidence(20, 3, 0), sound), List.of());
-    assertEquals(ejected(sound, evidence(6, 0, 6), sound), List.of(1L));
+    Evidence healthy = evidence(20, 0, 0);
+    assertEquals(ejected(healthy, evidence(4, 4, 0), healthy), List.of(1L));
+    assertEquals(ejected(healthy, evidence(11, 5, 0), healthy), List.of(1L));
+    assertEquals(ejected(healthy, evidence(3, 3, 0), healthy), List.of());
+    assertEquals(ejected(healthy, evidence(20, 3, 0), healthy), List.of());
+    assertEquals(ejected(healthy, evidence(6, 0, 6), healthy), List.of(1L));
   }
 
   @Test
@@ -69,64 +69,67 @@
 
   @Test
   public void theWorstGoFirstAndNoMoreThanTheBound() {
-    Evidence sound = evidence(50, 0, 0);
+    Evidence healthy = evidence(50, 0, 0);
     Evidence bad = evidence(50, 30, 0);
     Evidence worst = evidence(50, 50, 0);
-    assertEquals(ejected(sound, bad, worst, sound, sound), List.of(2L));
-    assertEquals(ejected(sound, bad, worst, sound, sound, sound), List.of(2L, 1L));
-    assertEquals(ejected(sound, worst), List.of(), "none of two");
+    assertEquals(ejected(healthy, bad, worst, healthy, healthy), List.of(2L));
+    assertEquals(ejected(healthy, bad, worst, healthy, healthy, healthy), List.of(2L, 1L));
+    assertEquals(ejected(healthy, worst), List.of(), "no ejection among two servers");
   }
 
-  /** A server that only just turned bad has its successes from before in the long span. */
+  /** A server that has just begun to fail still has earlier successes in the long window. */
   @Test
   public void theLatestOutcomesAloneAreEnough() {
-    Evidence sound = evidence(100, 0, 0);
+    Evidence healthy = evidence(100, 0, 0);
     Evidence turned = new Evidence(new Outcomes(6, 5, 0), new Outcomes(40, 5, 0));
-    assertEquals(ejected(sound, sound, turned), List.of(2L));
+    assertEquals(ejected(healthy, healthy, turned), List.of(2L));
   }
 
-  /** Fleets with any loads, where each server fails one request in a hundred by chance. */
+  /**
+   * Random fleets and loads, where each server fails one request in a hundred by chance, and is
+   * slow with one in a hundred.
+   */
   @Test
   public void noSoundServerIsEjected() {
     for (int seed = 0; seed < FLEETS; seed++) {
       Random random = new Random(seed);
       int servers = 3 + random.nextInt(61);
       double[] perStep = new double[servers];
-      List<RecentOutcomes> seen = new ArrayList<>();
+      List<RecentOutcomes> recent = new ArrayList<>();
       for (int i = 0; i < servers; i++) {
         perStep[i] = (1 + 40 * random.nextDouble() * random.nextDouble()) * STEP_MS / 1_000;
-        seen.add(new RecentOutcomes());
+        recent.add(new RecentOutcomes());
       }
       for (long now = 0; now < PLAY_MS; now += STEP_MS) {
         List<Evidence> evidence = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-          for (int left = requests(random, perStep[i]); left > 0; left--) {
-            draw(random, seen.get(i), now);
+          for (int remaining = requests(random, perStep[i]); remaining > 0; remaining--) {
+            draw(random, recent.get(i), now);
           }
-          evidence.add(seen.get(i).sum(now));
+          evidence.add(recent.get(i).sum(now));
         }
         assertTrue(judge(evidence).isEmpty(), "seed " + seed + " at " + now);
       }
     }
   }
 
-  private static void draw(Random random, RecentOutcomes seen, long now) {
-    seen.addTotal(now);
+  private static void draw(Random random, RecentOutcomes recent, long now) {
+    recent.addTotal(now);
     if (random.nextInt(100) == 0) {
-      seen.addFailure(now);
+      recent.addFailure(now);
     }
     if (random.nextInt(100) == 0) {
-      seen.addSlow(now);
+      recent.addSlow(now);
     }
   }
 
-  /** Returns a number of requests with a mean, as a Poisson process has it. */
+  /** Returns a Poisson-distributed number of requests with the given mean. */
   private static int requests(Random random, double mean) {
     int count = 0;
-    double left = random.nextDouble();
+    double product = random.nextDouble();
     double limit = Math.exp(-mean);
-    while (left > limit) {
-      left *= random.nextDouble();
+    while (product > limit) {
+      product *= random.nextDouble();
       count++;
     }
     return count;
--- a/landingtrack/src/test/java/org/landingtrack/internal/health/ServerOutcomesTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/health/ServerOutcomesTest.java
@@ -23,7 +23,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What one VM saw of servers, and what of it counts for all. */
+/** Tests which outcomes one VM counts, and which of them it reports to all VMs. */
 public final class ServerOutcomesTest {
   private static final long SERVICE = 1;
   private static final int VMS = 10;
@@ -37,25 +37,25 @@
   }
 
   private Object send(long server) {
-    Object send = new Object();
-    outcomes.sent(send, new Work(SERVICE, server, "kind", 1, 300), now);
-    return send;
+    Object attempt = new Object();
+    outcomes.sent(attempt, new Work(SERVICE, server, "kind", 1, 300), now);
+    return attempt;
   }
 
   private void answer(long server, int times) {
     for (int i = 0; i < times; i++) {
-      Object send = send(server);
+      Object attempt = send(server);
       now += 10;
-      outcomes.answered(send, now);
-      outcomes.over(send);
+      outcomes.answered(attempt, now);
+      outcomes.over(attempt);
     }
   }
 
   private void fail(long server, int times) {
     for (int i = 0; i < times; i++) {
-      Object send = send(server);
-      outcomes.failed(send, now);
-      outcomes.over(send);
+      Object attempt = send(server);
+      outcomes.failed(attempt, now);
+      outcomes.over(attempt);
     }
   }
 
@@ -84,17 +84,20 @@
   public void whatWaitsForLongCountsOnceAndBeforeItsEnd() {
     answer(10, 10);
     outcomes.look(now);
-    Object send = send(11);
+    Object attempt = send(11);
     for (int i = 0; i < 5; i++) {
       now += 100;
       outcomes.look(now);
     }
     assertEquals(told(11, VMS), new Outcomes(1, 1, 1));
-    outcomes.answered(send, now);
+    outcomes.answered(attempt, now);
     assertEquals(told(11, VMS), new Outcomes(1, 1, 1));
   }
 
-  /** What waited while the VM stood still was answered meanwhile, or says nothing. */
+  /**
+   * While the VM was paused, the requests in flight may have been answered without its reading the
+   * answers. Their times say nothing about the servers.
+   */
   @Test
   public void nothingIsLateThatWaitedWhileTheVmStoodStill() {
     answer(10, 10);
