--- a/landingtrack/src/main/java/org/landingtrack/internal/health/HealthPolicy.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/HealthPolicy.java
@@ -118,9 +118,9 @@
       if (!server.evidence().hasFaults()) {
         continue;
       }
-      Verdict verdict = judge(server, sum.minus(server.evidence()));
-      if (verdict != null && (worst == null || verdict.score() > worst.score())) {
-        worst = verdict;
+      Verdict outlier = judge(server, sum.minus(server.evidence()));
+      if (outlier != null && (worst == null || outlier.score() > worst.score())) {
+        worst = outlier;
       }
     }
     return worst;
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/SharedHealth.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/SharedHealth.java
@@ -48,7 +48,10 @@
   /** How long a probe and its success are reported, which is several rounds of reports. */
   private static final long TOLD_MS = 1_500;
 
-  /** Number of other VMs that must have ejected a server before this one adopts the ejection. */
+  /**
+   * Number of other VMs that must have ejected a server by their own decision before this one
+   * adopts the ejection.
+   */
   private static final int BELIEVED_HOLDERS = 2;
 
   private final Ticker ticker;
@@ -84,7 +87,7 @@
    * Creates a view without any outcomes.
    *
    * @param tally registers this VM's tallies for the reports to other VMs and returns the sums of
-   *     all VMs
+   *     the other VMs
    * @param services returns the services; called only while some server has faults or is ejected
    */
   public SharedHealth(
@@ -253,15 +256,15 @@
             new Server(incarnation, ejection == null ? evidence : ejection.since(evidence, now)));
       }
     }
-    for (Verdict verdict :
+    for (Verdict outlier :
         HealthPolicy.judge(candidates, baseline, maxEjected - ejectedHere.size())) {
-      long server = verdict.server().start();
+      long server = outlier.server().start();
       Ejection ejection =
           ejections.computeIfAbsent(
               server, incarnation -> new Ejection(incarnation, service.service()));
       ejection.begin(counts.getOrDefault(server, Word.NONE), now);
       ejectedHere.add(server);
-      listener.ejected(server, verdict.reason());
+      listener.ejected(server, outlier.reason());
     }
     believe(service, others, ejectedHere, maxEjected);
     ejected.addAll(ejectedHere);
--- a/landingtrack/src/main/java/org/landingtrack/internal/quarantine/Quarantine.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/quarantine/Quarantine.java
@@ -28,45 +28,49 @@
 import org.landingtrack.internal.base.Ticker;
 
 /**
- * Requests under which backend servers ended. One that three of them ended under gets no further
- * server, on any VM: without that, one request that its caller sent each second ended ten engines
- * in eleven seconds, and broke off twenty requests of others.
+ * Tracks requests that were in flight at backend servers when these crashed, and quarantines those
+ * that may be the cause: a request that was in flight at three crashes is sent to no further
+ * server, by any VM. Without a quarantine, one request that its caller sent each second crashed ten
+ * engines in eleven seconds and broke twenty requests of others.
  *
- * <p>A server ends under all that it has, so most of what is kept here is innocent: what ends well
- * afterwards is cleared. Of requests that last half a second each, on a day on which a third of the
- * servers end, none of 200,000 met three ends (QuarantineTest).
+ * <p>All requests in flight at a crashed server become suspects, so most suspects are harmless; a
+ * suspect that later succeeds is cleared. In QuarantineTest a third of the servers crash within 34
+ * seconds, and none of 200,000 harmless requests of half a second each is quarantined.
  *
- * <p>VMs tell each other what they know, all of which is a union of sets. What is new is told for
- * some rounds of news, the rest in turn once a second, so that VMs that started or were cut off
- * hear it as well. A message has room for 40 requests of some 45 bytes; nothing is told while no
- * server ended. Not thread-safe.
+ * <p>VMs exchange their suspects; merging them is a union of sets. Changes are reported in several
+ * rounds, and the other suspects in turn once a second, so that VMs that have just started or were
+ * partitioned receive them too. A message has room for 40 suspects of about 45 bytes each. Nothing
+ * is reported while there are no suspects. Not thread-safe.
  */
 public final class Quarantine {
-  /** Ends of servers after which a request gets no further one. */
+  /** Number of server crashes after which a request is quarantined. */
   public static final int MAX_ENDS = 3;
 
-  /** How long after its last end a request is remembered; a server may have been mended by then. */
+  /** How long a suspect is kept after its last crash; the servers may have been fixed by then. */
   static final long KEPT_MS = 3_600_000;
 
-  /** Requests that are remembered; 64 of each of thirty servers that ended, in half a megabyte. */
+  /** Maximum number of suspects: 64 from each of 30 crashed servers, which take half a megabyte. */
   static final int MAX_SUSPECTS = 2_000;
 
-  /**
-   * Rounds in which a change is told. A datagram in thirty is lost on bad links; what a request is
-   * blamed for once is mostly chance, and there is much of it where many servers end together.
-   */
+  /** Rounds in which a change is reported. On bad links one datagram in thirty is lost. */
   private static final int TOLD_ROUNDS = 10;
 
+  /**
+   * Rounds in which a suspect with a single crash is reported. Most of these are suspects by
+   * chance, and there are many of them when many servers crash together.
+   */
   private static final int TOLD_ROUNDS_OF_ONE_END = 3;
 
+  /** Rounds between reminders: reports of suspects that have not changed. */
   private static final int REMIND_EVERY_ROUNDS = 10;
 
-  /** Suspects in one round of news, and in one that only reminds. */
+  /** Maximum number of suspects in one report. */
   static final int MAX_TOLD = 40;
 
+  /** Maximum number of suspects that are not quarantined in one round of reminders. */
   private static final int REMINDED = 10;
 
-  /** Where not all fits, those that were told in the fewest rounds come first. */
+  /** Order if not all fit: quarantined requests, then those that are due in the most rounds. */
   private static final Comparator<Suspect> TOLD_FIRST =
       Comparator.comparing(Quarantine::isHeld).thenComparingInt(Suspect::roundsToTell).reversed();
 
@@ -77,21 +81,22 @@
   private List<SuspectNews> told = List.of();
   private long round;
 
-  /** What changed of a request that is blamed for ends of servers. */
+  /** Kinds of changes of a suspect. */
   public enum Change {
-    /** It was blamed for one more. */
+    /** A server crash was added. */
     CHARGED,
-    /** It was blamed for the last one that it needed: it gets no further server. */
+    /** The crashes reached {@link #MAX_ENDS}: the request is sent to no further server. */
     QUARANTINED,
-    /** It ended well and is blamed for nothing any more. */
+    /** The request succeeded, so earlier crashes no longer count. */
     CLEARED
   }
 
   /**
-   * A change of what is known of a request.
+   * A change of a suspect.
    *
-   * @param ends servers that it is blamed for now
-   * @param seenHere true if this VM saw it, false if another one told it
+   * @param ends number of server crashes that count against the request now
+   * @param seenHere true if this VM observed the change, false if another VM or the platform's
+   *     store reported it
    */
   public record Suspicion(RequestDigest digest, Change change, int ends, boolean seenHere) {}
 
@@ -100,19 +105,20 @@
     this.ticker = ticker;
   }
 
-  /** Tells {@code next} of each change from now on, after whoever listens already. */
+  /** Adds a listener for all further changes; it is called after those added before it. */
   public void onChange(Consumer<Suspicion> next) {
     listener = listener.andThen(next);
   }
 
   /**
-   * Returns true if a request with such a body may be known here; only then it is worth its digest.
+   * Returns true if there is a suspect with a body of this length. Only then the digest of a
+   * request is worth computing.
    */
   public boolean mayKnow(int bodyBytes) {
     return bodyLengths.containsKey(bodyBytes);
   }
 
-  /** Returns true if a request gets no further server. */
+  /** Returns true if a request is quarantined. */
   public boolean holds(RequestDigest digest) {
     Suspect suspect = find(digest);
     return suspect != null && isHeld(suspect);
@@ -122,19 +128,22 @@
     return suspect.blamedFor() >= MAX_ENDS;
   }
 
-  /** Returns how many servers a request is blamed for. */
+  /** Returns the number of server crashes that count against a request. */
   public int ends(RequestDigest digest) {
     Suspect suspect = find(digest);
     return suspect == null ? 0 : suspect.blamedFor();
   }
 
-  /** Returns after how long a request is forgotten if no more servers end under it. */
+  /**
+   * Returns the time in ms until a suspect expires if there are no further crashes, and 0 for a
+   * request that is no suspect.
+   */
   public long leftMs(RequestDigest digest) {
     Suspect suspect = find(digest);
     return suspect == null ? 0 : suspect.lastMs() + KEPT_MS - ticker.millis();
   }
 
-  /** Returns what is known of a request; forgets it if that is too old. */
+  /** Returns the suspect with a digest, or null; removes it if it has expired. */
   private @Nullable Suspect find(RequestDigest digest) {
     Suspect suspect = suspects.get(digest);
     if (suspect != null && ticker.millis() - suspect.lastMs() > KEPT_MS) {
@@ -144,39 +153,43 @@
     return suspect;
   }
 
-  /** Notes that a start of a server ended under a request. */
-  public void charge(RequestDigest digest, long start) {
+  /**
+   * Records that a server crashed while a request was in flight there.
+   *
+   * @param incarnation hash of the server's incarnation; each counts once
+   */
+  public void charge(RequestDigest digest, long incarnation) {
     long now = ticker.millis();
     Suspect suspect = findOrAdd(digest, now);
-    int before = suspect.blamedFor();
-    if (suspect.charge(start, now)) {
-      changed(suspect, before, true);
+    int crashesBefore = suspect.blamedFor();
+    if (suspect.charge(incarnation, now)) {
+      changed(suspect, crashesBefore, true);
     }
   }
 
-  /** Notes that a request ended well: it does not end whatever server begins it. */
+  /** Records that a request succeeded, so it does not crash every server that runs it. */
   public void endedWell(RequestDigest digest) {
     Suspect suspect = find(digest);
     if (suspect == null) {
       return;
     }
-    int before = suspect.blamedFor();
+    int crashesBefore = suspect.blamedFor();
     if (suspect.clear()) {
-      changed(suspect, before, true);
+      changed(suspect, crashesBefore, true);
     }
   }
 
-  /** Takes what another VM or the platform's store knows. */
-  public void heard(List<SuspectNews> news) {
+  /** Merges suspects that another VM or the platform's store reports; expired ones are ignored. */
+  public void heard(List<SuspectNews> reports) {
     long now = ticker.millis();
-    for (SuspectNews each : news) {
-      if (each.agoMs() > KEPT_MS || each.agoMs() < 0) {
+    for (SuspectNews report : reports) {
+      if (report.agoMs() > KEPT_MS || report.agoMs() < 0) {
         continue;
       }
-      Suspect suspect = findOrAdd(each.digest(), now - each.agoMs());
-      int before = suspect.blamedFor();
-      if (suspect.join(each, now)) {
-        changed(suspect, before, false);
+      Suspect suspect = findOrAdd(report.digest(), now - report.agoMs());
+      int crashesBefore = suspect.blamedFor();
+      if (suspect.join(report, now)) {
+        changed(suspect, crashesBefore, false);
       }
     }
   }
@@ -195,7 +208,7 @@
     return added;
   }
 
-  /** Makes room: what is blamed for least goes first, of those what was blamed longest ago. */
+  /** Evicts the suspect with the fewest crashes, among those the one whose last crash is oldest. */
   private void forgetLeast() {
     suspects.values().stream()
         .min(Comparator.comparingInt(Suspect::blamedFor).thenComparingLong(Suspect::lastMs))
@@ -208,26 +221,26 @@
         suspect.digest().bodyBytes(), (length, count) -> count == 1 ? null : count - 1);
   }
 
-  private void changed(Suspect suspect, int before, boolean seenHere) {
-    int ends = suspect.blamedFor();
-    suspect.tellFor(ends > 1 ? TOLD_ROUNDS : TOLD_ROUNDS_OF_ONE_END);
-    Change change = change(before, ends);
+  private void changed(Suspect suspect, int crashesBefore, boolean seenHere) {
+    int crashes = suspect.blamedFor();
+    suspect.tellFor(crashes > 1 ? TOLD_ROUNDS : TOLD_ROUNDS_OF_ONE_END);
+    Change change = change(crashesBefore, crashes);
     if (change != null) {
-      listener.accept(new Suspicion(suspect.digest(), change, ends, seenHere));
+      listener.accept(new Suspicion(suspect.digest(), change, crashes, seenHere));
     }
   }
 
-  private static @Nullable Change change(int before, int ends) {
-    if (ends == before) {
+  private static @Nullable Change change(int crashesBefore, int crashes) {
+    if (crashes == crashesBefore) {
       return null;
     }
-    if (ends < before) {
+    if (crashes < crashesBefore) {
       return Change.CLEARED;
     }
-    return before < MAX_ENDS && ends >= MAX_ENDS ? Change.QUARANTINED : Change.CHARGED;
+    return crashesBefore < MAX_ENDS && crashes >= MAX_ENDS ? Change.QUARANTINED : Change.CHARGED;
   }
 
-  /** Begins a round of news: chooses what is told in it, the quarantined ones first. */
+  /** Begins a round and selects the suspects that it reports, quarantined ones first. */
   public void nextRound() {
     round++;
     if (suspects.isEmpty()) {
@@ -247,43 +260,46 @@
     List<Suspect> chosen = new ArrayList<>(due);
     chosen.sort(TOLD_FIRST);
     long now = ticker.millis();
-    List<SuspectNews> news = new ArrayList<>();
+    List<SuspectNews> reports = new ArrayList<>();
     for (Suspect suspect : chosen.subList(0, Math.min(MAX_TOLD, chosen.size()))) {
-      news.add(suspect.news(now));
+      reports.add(suspect.news(now));
       suspect.tellFor(Math.max(0, suspect.roundsToTell() - 1));
     }
-    told = news;
+    told = reports;
   }
 
   private void forgetOld() {
     List.copyOf(suspects.keySet()).forEach(this::find);
   }
 
-  /** Returns the quarantined requests, and some others that were not told for longest. */
+  /** Returns all quarantined requests and the suspects that were not reminded of for longest. */
   private List<Suspect> reminders() {
-    List<Suspect> reminded = new ArrayList<>();
+    List<Suspect> reminders = new ArrayList<>();
     int others = 0;
     for (Suspect suspect : suspects.values()) {
       if (isHeld(suspect) || others++ < REMINDED) {
-        reminded.add(suspect);
+        reminders.add(suspect);
       }
     }
-    reminded.forEach(this::toTheEnd);
-    return reminded;
+    reminders.forEach(this::toTheEnd);
+    return reminders;
   }
 
-  /** The next rounds remind of others first. */
+  /** Moves a suspect to the end, so that the next reminders contain others first. */
   private void toTheEnd(Suspect suspect) {
     suspects.remove(suspect.digest());
     suspects.put(suspect.digest(), suspect);
   }
 
-  /** Returns what is told in this round. */
+  /** Returns the reports of this round. */
   public List<SuspectNews> news() {
     return told;
   }
 
-  /** Returns what is known of a quarantined request that the platform's store does not have yet. */
+  /**
+   * Returns the report of a quarantined request that is not yet in the platform's store, or null if
+   * the request is not quarantined or is stored already.
+   */
   @Nullable SuspectNews unsaved(RequestDigest digest) {
     Suspect suspect = find(digest);
     if (suspect == null || !isHeld(suspect) || suspect.isSaved()) {
@@ -292,18 +308,18 @@
     return suspect.news(ticker.millis());
   }
 
-  /** Returns all quarantined requests. */
+  /** Returns the reports of all quarantined requests. */
   List<SuspectNews> held() {
-    List<SuspectNews> held = new ArrayList<>();
+    List<SuspectNews> reports = new ArrayList<>();
     for (Suspect suspect : suspects.values()) {
       if (isHeld(suspect)) {
-        held.add(suspect.news(ticker.millis()));
+        reports.add(suspect.news(ticker.millis()));
       }
     }
-    return held;
+    return reports;
   }
 
-  /** Notes that the platform's store has a request, and has other VMs told. */
+  /** Records that the platform's store has a request, and reports this to other VMs. */
   void saved(RequestDigest digest) {
     Suspect suspect = find(digest);
     if (suspect != null && !suspect.isSaved()) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/quarantine/QuarantineArchive.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/quarantine/QuarantineArchive.java
@@ -34,24 +34,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps quarantined requests in the Object API: all VMs may be lost at once, and each request would
- * end three more servers before the new ones knew it. A VM reads them once at its start; afterwards
- * it hears of new ones from the others. One VM writes each, by two calls.
+ * Stores quarantined requests in the platform's store through the Object API. All VMs may be lost
+ * at once, and without a copy each request would crash three more servers before the new VMs
+ * quarantined it. A VM reads the list once at its start and receives later ones from the other VMs.
+ * One VM writes each request, in one read and one write.
  */
 public final class QuarantineArchive {
   static final String KEY = "quarantine/requests";
 
-  /** Requests that are kept, the newest ones: some 30 kB of a megabyte. */
+  /** Maximum number of stored requests, the newest ones: about 30 kB; an object may have 1 MB. */
   static final int MAX_KEPT = 200;
 
-  /** The VM that saw the last end writes; others only if that one is lost before it could. */
+  /**
+   * Delay before VMs write a request that another VM quarantined. The VM that saw the last crash
+   * writes at once; the others write only if it was lost before it could.
+   */
   private static final long OTHERS_AFTER_MS = 1_000;
 
+  /** Random part of that delay, so that one VM writes first and the others find it stored. */
   private static final int OTHERS_SPREAD_MS = 3_000;
 
-  /** Between tries while the store does not answer; a VM that starts needs it within seconds. */
+  /** Delay between attempts while the store is out; a VM that starts needs it within seconds. */
   private static final long RETRY_MS = 500;
 
+  /** Attempts of a write that conflicts with other VMs' writes, before {@link #RETRY_MS} passes. */
   private static final int CONFLICTS = 4;
 
   private static final Logger log = LoggerFactory.getLogger("quarantine");
@@ -70,7 +76,7 @@
     void run(long delayMs, Runnable task);
   }
 
-  /** What is stored. */
+  /** Value of the stored object. */
   record Stored(List<StoredRequest> requests) {
     Stored {
       requests = List.copyOf(requests);
@@ -78,12 +84,14 @@
   }
 
   /**
-   * A request as it is stored.
+   * A stored request.
    *
-   * @param lastMs when the last server ended under it, in Unix milliseconds
+   * @param digest as {@link RequestDigest#hex} returns it
+   * @param ended hashes of the crashed servers' incarnations
+   * @param lastMs time of the last crash, in Unix milliseconds
    */
   record StoredRequest(String digest, int bodyBytes, List<Long> ended, long lastMs) {
-    /** Refuses what names no request, so that the whole is taken for unreadable. */
+    /** Throws for a malformed digest, so that the whole object counts as unreadable. */
     StoredRequest {
       ended = List.copyOf(ended);
       RequestDigest.parse(digest, bodyBytes);
@@ -95,11 +103,12 @@
   }
 
   /**
-   * Creates an archive that does nothing yet.
+   * Creates an archive that is not started.
    *
-   * @param calls where calls of {@code api} block
-   * @param loop where {@code quarantine} is used
-   * @param timeOfDay in Unix milliseconds; VMs' clocks may differ by seconds, where hours count
+   * @param calls executor for the blocking calls of {@code api}
+   * @param loop event loop on which {@code quarantine} is used
+   * @param timeOfDay Unix time in milliseconds; clocks of VMs may differ by seconds, which is
+   *     little compared with the hour for which requests are kept
    */
   public QuarantineArchive(
       ObjectApi api,
@@ -118,7 +127,10 @@
     this.random = random;
   }
 
-  /** Begins to read, and to write what is quarantined from now on. Call it on the loop. */
+  /**
+   * Starts reading the stored requests, and writing those that are quarantined from now on. Call it
+   * on the event loop.
+   */
   public void start() {
     quarantine.onChange(this::changed);
     calls.execute(this::read);
@@ -133,32 +145,32 @@
   }
 
   /**
-   * Writes again what the store may have lost: it came back from an older copy. Any thread may call
-   * it; what the store still has costs one read each.
+   * Writes all quarantined requests again, since the store was rolled back to an older copy. Any
+   * thread may call it. A request that the store still has costs one read.
    */
   public void storeRewound() {
     loop.execute(
         () -> {
-          for (SuspectNews held : quarantine.held()) {
-            later.run(random.nextInt(OTHERS_SPREAD_MS), () -> calls.execute(() -> save(held)));
+          for (SuspectNews report : quarantine.held()) {
+            later.run(random.nextInt(OTHERS_SPREAD_MS), () -> calls.execute(() -> save(report)));
           }
         });
   }
 
   private void saveIfDue(RequestDigest digest) {
-    SuspectNews unsaved = quarantine.unsaved(digest);
-    if (unsaved != null) {
-      calls.execute(() -> save(unsaved));
+    SuspectNews report = quarantine.unsaved(digest);
+    if (report != null) {
+      calls.execute(() -> save(report));
     }
   }
 
   private void read() {
     try {
-      List<SuspectNews> known = new ArrayList<>();
+      List<SuspectNews> reports = new ArrayList<>();
       for (StoredRequest request : stored(api.read(CallClass.CONFIGURATION, KEY))) {
-        known.add(news(request));
+        reports.add(news(request));
       }
-      loop.execute(() -> quarantine.heard(known));
+      loop.execute(() -> quarantine.heard(reports));
     } catch (PlatformException e) {
       loop.execute(() -> later.run(RETRY_MS, () -> calls.execute(this::read)));
     }
@@ -169,7 +181,10 @@
     return new SuspectNews(request.request(), request.ended(), List.of(), agoMs, true);
   }
 
-  /** What cannot be read is written anew; it names no request that can be known again. */
+  /**
+   * Returns the stored requests; none if there is no object or it is unreadable. The next write
+   * replaces an unreadable object, which identifies no request.
+   */
   private static List<StoredRequest> stored(Optional<StoredObject> object) {
     if (object.isEmpty()) {
       return List.of();
@@ -177,39 +192,47 @@
     try {
       return Json.read(KEY, object.get().value(), Stored.class).requests();
     } catch (LandingtrackException e) {
-      log.warn("Quarantined requests in the store cannot be read: {}.", e.getMessage());
+      log.warn(
+          "Quarantined requests in the store cannot be read and will be overwritten: {}.",
+          e.getMessage());
       return List.of();
     }
   }
 
-  private void save(SuspectNews request) {
+  private void save(SuspectNews report) {
     try {
-      for (int tries = 0; tries < CONFLICTS; tries++) {
-        if (tryWrite(request)) {
-          loop.execute(() -> quarantine.saved(request.digest()));
+      for (int attempts = 0; attempts < CONFLICTS; attempts++) {
+        if (tryWrite(report)) {
+          loop.execute(() -> quarantine.saved(report.digest()));
           return;
         }
       }
     } catch (PlatformException e) {
-      log.info("Quarantined request {} is not in the store yet: {}.", request.digest().hex(), e);
+      log.info(
+          "Quarantined request {} could not be written to the store yet: {}.",
+          report.digest().hex(),
+          e);
     }
-    loop.execute(() -> later.run(RETRY_MS, () -> saveIfDue(request.digest())));
+    loop.execute(() -> later.run(RETRY_MS, () -> saveIfDue(report.digest())));
   }
 
-  /** Returns false if another VM wrote meanwhile. */
-  private boolean tryWrite(SuspectNews request) {
+  /**
+   * Adds a request to the stored ones, unless it is there.
+   *
+   * @return false if another VM wrote in between
+   */
+  private boolean tryWrite(SuspectNews report) {
     Optional<StoredObject> object = api.read(CallClass.STATUS, KEY);
-    List<StoredRequest> before = stored(object);
-    String hex = request.digest().hex();
-    if (before.stream().anyMatch(each -> each.digest().equals(hex))) {
+    List<StoredRequest> stored = stored(object);
+    String hex = report.digest().hex();
+    if (stored.stream().anyMatch(request -> request.digest().equals(hex))) {
       return true;
     }
     long now = timeOfDay.getAsLong();
-    List<StoredRequest> kept = new ArrayList<>(before);
+    List<StoredRequest> kept = new ArrayList<>(stored);
     kept.add(
-        new StoredRequest(
-            hex, request.digest().bodyBytes(), request.ended(), now - request.agoMs()));
-    kept.removeIf(each -> now - each.lastMs() > Quarantine.KEPT_MS);
+        new StoredRequest(hex, report.digest().bodyBytes(), report.ended(), now - report.agoMs()));
+    kept.removeIf(request -> now - request.lastMs() > Quarantine.KEPT_MS);
     kept.sort(Comparator.comparingLong(StoredRequest::lastMs).reversed());
     String value = Json.write(new Stored(kept.subList(0, Math.min(MAX_KEPT, kept.size()))));
     try {
--- a/landingtrack/src/main/java/org/landingtrack/internal/quarantine/RequestDigest.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/quarantine/RequestDigest.java
@@ -21,17 +21,17 @@
 import org.landingtrack.internal.base.Hashes;
 
 /**
- * What stays the same when a caller sends a request again: its team, path and body. Another try has
- * another id and may come to another VM. The first 128 bits of a SHA-256, so that nobody finds a
- * request that is taken for somebody else's.
+ * Digest that identifies a request across retries of its caller, from its team, method, host,
+ * target and body. A retry has another request id and may arrive at another VM. It is the first 128
+ * bits of a SHA-256, so nobody can construct a request with the digest of another one.
  *
- * @param bodyBytes length of the body, by which most requests are told apart without a digest
+ * @param bodyBytes length of the body; it tells most requests apart without computing a digest
  */
 public record RequestDigest(long high, long low, int bodyBytes) {
   private static final int HEX = 16;
 
   /**
-   * Digests a request.
+   * Computes the digest of a request.
    *
    * @param team owner of the caller's key; empty where the route needs none
    * @param target path and query
@@ -41,7 +41,7 @@
     MessageDigest sha = Hashes.sha256();
     for (String text : new String[] {team, method, host, target}) {
       byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-      // With the length of each, no two lists of texts are the same bytes.
+      // The length before each text keeps different lists of texts from giving the same bytes.
       sha.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).flip());
       sha.update(bytes);
     }
@@ -49,15 +49,19 @@
     return new RequestDigest(digest.getLong(), digest.getLong(), body.length);
   }
 
-  /** Returns the digest in hex, as log lines tell it. */
+  /** Returns the digest as 32 hex digits, as log lines and the platform's store have it. */
   public String hex() {
     return String.format("%016x%016x", high, low);
   }
 
-  /** Reads a digest that {@link #hex} wrote; throws {@link IllegalArgumentException} for others. */
+  /**
+   * Parses the text that {@link #hex} returns.
+   *
+   * @throws IllegalArgumentException if the text is anything else
+   */
   static RequestDigest parse(String hex, int bodyBytes) {
     if (hex.length() != 2 * HEX) {
-      throw new IllegalArgumentException("no digest: " + hex);
+      throw new IllegalArgumentException("a request digest must have 32 hex digits: " + hex);
     }
     return new RequestDigest(
         Long.parseUnsignedLong(hex.substring(0, HEX), HEX),
--- a/landingtrack/src/main/java/org/landingtrack/internal/quarantine/Suspect.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/quarantine/Suspect.java
@@ -19,17 +19,22 @@
 import java.util.List;
 import java.util.Set;
 
-/** A request under which servers ended. Not thread-safe. */
+/** A request that was in flight at servers when these crashed. Not thread-safe. */
 final class Suspect {
   /**
-   * Ends that are remembered of one request. Three decide; a request that ended well after twelve
-   * is not what they ended of.
+   * Maximum number of crashes that are recorded for one request. Three suffice for the quarantine;
+   * a request that succeeds after twelve is not the cause of the crashes.
    */
   private static final int MAX_KNOWN_ENDS = 12;
 
   private final RequestDigest digest;
+
+  /** Hashes of the crashed servers' incarnations. */
   private final Set<Long> ended = new LinkedHashSet<>();
+
+  /** Those of {@link #ended} that no longer count, since the request succeeded later. */
   private final Set<Long> cleared = new LinkedHashSet<>();
+
   private long lastMs;
   private boolean saved;
   private int roundsToTell;
@@ -43,67 +48,69 @@
     return digest;
   }
 
-  /** Returns the number of servers that it is blamed for. */
+  /** Returns the number of crashes that count against the request. */
   int blamedFor() {
     int count = 0;
-    for (long start : ended) {
-      count += cleared.contains(start) ? 0 : 1;
+    for (long incarnation : ended) {
+      count += cleared.contains(incarnation) ? 0 : 1;
     }
     return count;
   }
 
-  /** Notes the end of a server under it; returns true if that is new. */
-  boolean charge(long start, long atMs) {
-    if (ended.size() >= MAX_KNOWN_ENDS || !ended.add(start)) {
+  /** Records a crash of a server; returns false if it is known or there are too many. */
+  boolean charge(long incarnation, long atMs) {
+    if (ended.size() >= MAX_KNOWN_ENDS || !ended.add(incarnation)) {
       return false;
     }
     lastMs = Math.max(lastMs, atMs);
     return true;
   }
 
-  /** Notes that it ended well; returns true if it was blamed for anything. */
+  /** Records that the request succeeded; returns true if any crash counted against it. */
   boolean clear() {
     return cleared.addAll(ended);
   }
 
-  /** Joins what another VM knows of it; returns true if any of that is new. */
-  boolean join(SuspectNews news, long nowMs) {
-    boolean changed = !saved && news.saved();
-    saved |= news.saved();
-    for (long start : news.ended()) {
-      changed |= charge(start, nowMs - news.agoMs());
+  /** Merges the report of another VM or the platform's store; returns true if any of it is new. */
+  boolean join(SuspectNews report, long nowMs) {
+    boolean changed = !saved && report.saved();
+    saved |= report.saved();
+    for (long incarnation : report.ended()) {
+      changed |= charge(incarnation, nowMs - report.agoMs());
     }
-    for (long start : news.cleared()) {
-      changed |= ended.contains(start) && cleared.add(start);
+    for (long incarnation : report.cleared()) {
+      changed |= ended.contains(incarnation) && cleared.add(incarnation);
     }
     return changed;
   }
 
+  /** Returns the report for other VMs. */
   SuspectNews news(long nowMs) {
     return new SuspectNews(
         digest, List.copyOf(ended), List.copyOf(cleared), Math.max(0, nowMs - lastMs), saved);
   }
 
-  /** Returns when the last server ended under it. */
+  /** Returns the time of the last crash. */
   long lastMs() {
     return lastMs;
   }
 
+  /** Returns true if the platform's store has the request. */
   boolean isSaved() {
     return saved;
   }
 
-  /** Notes that the platform's store has it. */
+  /** Records that the platform's store has the request. */
   void saved() {
     saved = true;
   }
 
-  /** Has it told to other VMs in so many rounds. */
+  /** Sets the number of further rounds in which the request is reported to other VMs. */
   void tellFor(int rounds) {
     roundsToTell = rounds;
   }
 
-  /** Returns in how many more rounds it is told. */
+  /** Returns the number of further rounds in which the request is reported. */
   int roundsToTell() {
     return roundsToTell;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/quarantine/SuspectNews.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/quarantine/SuspectNews.java
@@ -18,13 +18,13 @@
 import java.util.List;
 
 /**
- * What a VM knows of a request under which servers ended. Two of them of one request join to the
- * union of both, so that neither their order nor how often one is heard matters.
+ * Report on a request that was in flight at servers when these crashed, as VMs exchange it. Two
+ * reports on one request merge to the union of both, so neither their order nor repetition matters.
  *
- * @param ended hashes of the servers' starts that ended under it
- * @param cleared those of them that it is not blamed for, since it ended well elsewhere later
- * @param agoMs how long ago the last of them ended
- * @param saved true if the platform's store has it
+ * @param ended hashes of the crashed servers' incarnations
+ * @param cleared those of them that no longer count, since the request succeeded elsewhere later
+ * @param agoMs time since the last crash, in ms
+ * @param saved true if the platform's store has the request
  */
 public record SuspectNews(
     RequestDigest digest, List<Long> ended, List<Long> cleared, long agoMs, boolean saved) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/quarantine/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/quarantine/package-info.java
@@ -14,8 +14,9 @@
  * limitations under the License.
  */
 /**
- * Requests under which backend servers ended, and which of them get no further server. No I/O but
- * by what is handed in.
+ * Quarantine of requests that crash backend servers: which requests were in flight when servers
+ * crashed, and which of them are sent to no further server. The package does no I/O of its own;
+ * callers pass in what sends, receives and stores.
  */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.quarantine;
--- a/landingtrack/src/test/java/org/landingtrack/internal/health/HealthFleetTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/health/HealthFleetTest.java
@@ -44,7 +44,10 @@
 
   private static final int MOST_FAILURES = 10;
 
-  /** Longest probe delay of 8 s, and some turns of VMs. */
+  /**
+   * Time within which a recovered server is reinstated: the longest probe delay, 8 s, and some
+   * turns of VMs.
+   */
   private static final long BACK_MS = 10_000;
 
   @DataProvider
@@ -66,15 +69,15 @@
   }
 
   private static void expectKnown(
-      HealthFleet fleet, Server server, double failing, Fault fault, int slowness) {
-    server.failing = failing;
+      HealthFleet fleet, Server server, double failureRate, Fault fault, int slowdown) {
+    server.failing = failureRate;
     server.fault = fault;
-    server.slowness = slowness;
+    server.slowness = slowdown;
     while (fleet.ejectedAt(server) == 0 && server.failures <= MOST_FAILURES) {
       fleet.loop.advance(10);
     }
     long spreadMs = fleet.playUntil(server, true, KNOWN_MS);
-    String details = fault + " " + failing + ", slow " + slowness + ": " + server.failures;
+    String details = fault + " " + failureRate + ", slow " + slowdown + ": " + server.failures;
     assertTrue(spreadMs >= 0, details);
     assertTrue(server.failures <= MOST_FAILURES, details);
   }
--- a/landingtrack/src/test/java/org/landingtrack/internal/health/HealthPolicyTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/health/HealthPolicyTest.java
@@ -47,7 +47,7 @@
   }
 
   private static List<Long> ejected(Evidence... servers) {
-    return judge(List.of(servers)).stream().map(verdict -> verdict.server().start()).toList();
+    return judge(List.of(servers)).stream().map(outlier -> outlier.server().start()).toList();
   }
 
   @Test
--- a/landingtrack/src/test/java/org/landingtrack/internal/quarantine/QuarantineArchiveTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/quarantine/QuarantineArchiveTest.java
@@ -28,7 +28,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What is quarantined outlives all VMs, whatever the store does. */
+/**
+ * Tests that the quarantine survives the loss of all VMs, also with store outages and conflicts.
+ */
 public final class QuarantineArchiveTest {
   private static final long DAY_MS = 24 * 3_600_000L;
 
@@ -47,7 +49,7 @@
     return RequestDigest.of("team", "POST", "h", "/" + number, new byte[number]);
   }
 
-  /** A VM that starts, with another seed for each. */
+  /** Starts a VM; each needs its own seed. */
   private Quarantine start(long seed) {
     Quarantine quarantine = new Quarantine(loop);
     QuarantineArchive archive =
@@ -63,9 +65,9 @@
     return quarantine;
   }
 
-  private void threeServersEnd(Quarantine at, RequestDigest request) {
-    for (long start = 1; start <= 3; start++) {
-      at.charge(request, start);
+  private void threeServersEnd(Quarantine quarantine, RequestDigest request) {
+    for (long incarnation = 1; incarnation <= 3; incarnation++) {
+      quarantine.charge(request, incarnation);
     }
     loop.advance(1);
   }
@@ -77,11 +79,11 @@
     loop.advance(10_000);
     Quarantine next = start(3);
     assertTrue(next.holds(digest(1)));
-    assertEquals(next.ends(digest(2)), 0, "one end is no reason to write");
+    assertEquals(next.ends(digest(2)), 0, "a suspect with one crash is not written");
     assertEquals(store.writes(), 1);
   }
 
-  /** The VM that saw the last end writes at once; others that hear of it have no reason to. */
+  /** The VM that saw the last crash writes at once; VMs that receive the report don't write. */
   @Test
   public void oneVmWritesWhatAllKnow() {
     Quarantine first = start(1);
@@ -93,7 +95,7 @@
     assertEquals(store.writes(), 1);
   }
 
-  /** The VM that saw the last end is lost before the store took its word. */
+  /** The VM that saw the last crash is lost before it wrote to the store. */
   @Test
   public void anotherVmWritesWhereTheFirstCould() {
     Quarantine first = new Quarantine(loop);
@@ -119,7 +121,7 @@
     assertTrue(next.holds(digest(1)) && next.holds(digest(2)));
   }
 
-  /** A VM that starts while the store is away reads when it is back. */
+  /** A VM that starts during a store outage reads once the store has recovered. */
   @Test
   public void aVmThatCouldNotReadTriesAgain() {
     threeServersEnd(start(1), digest(1));
@@ -140,9 +142,9 @@
     threeServersEnd(start(3), digest(3));
     String stored = store.read(CallClass.STATUS, QuarantineArchive.KEY).orElseThrow().value();
     assertFalse(stored.contains(digest(1).hex()), stored);
-    String noDigest =
+    String malformedDigest =
         "{\"requests\":[{\"digest\":\"xy\",\"bodyBytes\":1,\"ended\":[],\"lastMs\":1}]}";
-    for (String unreadable : List.of("{\"requests\":7}", "{\"requests\":null}", noDigest)) {
+    for (String unreadable : List.of("{\"requests\":7}", "{\"requests\":null}", malformedDigest)) {
       long version = store.read(CallClass.STATUS, QuarantineArchive.KEY).orElseThrow().version();
       store.write(CallClass.STATUS, QuarantineArchive.KEY, unreadable, version);
       threeServersEnd(start(4), digest(4));
--- a/landingtrack/src/test/java/org/landingtrack/internal/quarantine/QuarantineTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/quarantine/QuarantineTest.java
@@ -29,7 +29,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What VMs know of requests under which servers ended, and how they join it. */
+/** Tests how crashes are counted for requests, and how VMs merge each other's reports. */
 public final class QuarantineTest {
   private static final int SEEDS = 200;
   private static final RequestDigest CULPRIT = digest(0);
@@ -56,8 +56,8 @@
   public void threeDifferentStartsDecide() {
     List<Suspicion> changes = new ArrayList<>();
     quarantine.onChange(changes::add);
-    for (long start : new long[] {1, 1, 2, 2, 2, 3, 4}) {
-      quarantine.charge(CULPRIT, start);
+    for (long incarnation : new long[] {1, 1, 2, 2, 2, 3, 4}) {
+      quarantine.charge(CULPRIT, incarnation);
     }
     List<Change> kinds = changes.stream().map(Suspicion::change).toList();
     assertEquals(
@@ -66,7 +66,7 @@
     assertFalse(quarantine.holds(digest(1)));
   }
 
-  /** A digest is only worth computing if its result can be known. */
+  /** A digest is computed only if some suspect has a body of the same length. */
   @Test
   public void requestsOfOtherLengthsAreToldApartWithoutADigest() {
     assertFalse(quarantine.mayKnow(3));
@@ -76,7 +76,7 @@
     assertFalse(quarantine.mayKnow(4));
     ticker.pass(Quarantine.KEPT_MS + 1);
     assertEquals(quarantine.ends(digest(3)), 0);
-    assertTrue(quarantine.mayKnow(3), "another of that length is still known");
+    assertTrue(quarantine.mayKnow(3), "another suspect of that length is left");
     assertEquals(quarantine.ends(digest(10)), 0);
     assertFalse(quarantine.mayKnow(3));
   }
@@ -90,71 +90,77 @@
     assertEquals(other.ends(CULPRIT), 2);
     other.endedWell(CULPRIT);
     tell(quarantine, other);
-    assertEquals(other.ends(CULPRIT), 0, "old blame that is heard again does not count");
+    assertEquals(other.ends(CULPRIT), 0, "a cleared crash that is reported again does not count");
     tell(other, quarantine);
     quarantine.charge(CULPRIT, 3);
     assertEquals(quarantine.ends(CULPRIT), 1);
   }
 
-  /** VMs that hear the same, in any order, late and again, know the same. */
+  /** VMs that receive the same reports end in the same state, in any order and with repetitions. */
   @Test
   public void orderAndRepetitionOfNewsDoNotMatter() {
     for (int seed = 0; seed < SEEDS; seed++) {
       Random random = new Random(seed);
-      List<SuspectNews> news = new ArrayList<>();
-      Quarantine seen = new Quarantine(ticker);
+      List<SuspectNews> reports = new ArrayList<>();
+      Quarantine observer = new Quarantine(ticker);
       for (int step = 0; step < 9; step++) {
         if (random.nextInt(4) == 0) {
-          seen.endedWell(CULPRIT);
+          observer.endedWell(CULPRIT);
         } else {
-          seen.charge(CULPRIT, random.nextInt(6));
+          observer.charge(CULPRIT, random.nextInt(6));
         }
-        seen.nextRound();
-        news.addAll(seen.news());
+        observer.nextRound();
+        reports.addAll(observer.news());
       }
-      List<SuspectNews> shuffled = new ArrayList<>(news);
-      shuffled.addAll(news);
+      List<SuspectNews> shuffled = new ArrayList<>(reports);
+      shuffled.addAll(reports);
       Collections.shuffle(shuffled, random);
       Quarantine late = new Quarantine(ticker);
       late.heard(shuffled);
-      assertEquals(late.ends(CULPRIT), seen.ends(CULPRIT), "seed " + seed);
+      assertEquals(late.ends(CULPRIT), observer.ends(CULPRIT), "seed " + seed);
     }
   }
 
-  /** Half of the datagrams are lost; a VM that was cut off or started hears by reminders. */
+  /**
+   * Half of the datagrams are lost. A VM that was partitioned or has just started receives the
+   * suspects through reminders.
+   */
   @Test
   public void allVmsKnowWithinASecondAndAHalfAlsoWhenDatagramsAreLost() {
     for (int seed = 0; seed < SEEDS; seed++) {
       Random random = new Random(seed);
-      Quarantine seen = new Quarantine(ticker);
+      Quarantine observer = new Quarantine(ticker);
       Quarantine other = new Quarantine(ticker);
       Quarantine started = new Quarantine(ticker);
       for (int i = 0; i < 100; i++) {
-        seen.charge(digest(1 + i), 1);
+        observer.charge(digest(1 + i), 1);
       }
-      for (int start = 1; start <= 3; start++) {
-        seen.charge(CULPRIT, start);
+      for (int incarnation = 1; incarnation <= 3; incarnation++) {
+        observer.charge(CULPRIT, incarnation);
       }
       for (int round = 0; round < 15; round++) {
-        seen.nextRound();
-        assertTrue(seen.news().size() <= Quarantine.MAX_TOLD);
+        observer.nextRound();
+        assertTrue(observer.news().size() <= Quarantine.MAX_TOLD);
         if (random.nextBoolean()) {
-          other.heard(seen.news());
+          other.heard(observer.news());
         }
       }
       assertTrue(other.holds(CULPRIT), "seed " + seed);
       for (int round = 0; round < 40; round++) {
-        tell(seen, started);
+        tell(observer, started);
       }
       assertTrue(started.holds(CULPRIT), "seed " + seed);
     }
   }
 
-  /** Other requests are charged in each round; a VM that started hears of the quarantined one. */
+  /**
+   * New suspects are added in each round, and still a VM that has just started receives the
+   * quarantined request.
+   */
   @Test
   public void whatIsQuarantinedIsToldAgainAlsoWhileThereIsMuchNews() {
-    for (int start = 1; start <= 3; start++) {
-      quarantine.charge(CULPRIT, start);
+    for (int incarnation = 1; incarnation <= 3; incarnation++) {
+      quarantine.charge(CULPRIT, incarnation);
     }
     for (int i = 0; i < 30; i++) {
       quarantine.nextRound();
@@ -175,8 +181,8 @@
 
   @Test
   public void anHourAfterItsLastEndARequestIsServedAgain() {
-    for (int start = 1; start <= 3; start++) {
-      quarantine.charge(CULPRIT, start);
+    for (int incarnation = 1; incarnation <= 3; incarnation++) {
+      quarantine.charge(CULPRIT, incarnation);
       ticker.pass(Quarantine.KEPT_MS / 2);
     }
     assertTrue(quarantine.holds(CULPRIT));
@@ -185,10 +191,10 @@
     tell(quarantine, other);
     ticker.pass(Quarantine.KEPT_MS / 2 + 1);
     assertFalse(quarantine.holds(CULPRIT));
-    assertFalse(other.holds(CULPRIT), "what is heard is as old as it is");
+    assertFalse(other.holds(CULPRIT), "a reported crash keeps its age");
   }
 
-  /** What nobody asks for is forgotten as well, and no VM is told of it any more. */
+  /** Expired suspects are removed and no longer reported, even if nobody looks them up. */
   @Test
   public void oldSuspectsAreNotRememberedForEver() {
     quarantine.charge(digest(3), 1);
@@ -200,11 +206,11 @@
     assertFalse(quarantine.mayKnow(3));
   }
 
-  /** Room is bounded, and a flood of suspects does not push out what is quarantined. */
+  /** The number of suspects is limited, and many new ones don't evict a quarantined request. */
   @Test
   public void manySuspectsDoNotPushOutTheQuarantined() {
-    for (int start = 1; start <= 3; start++) {
-      quarantine.charge(CULPRIT, start);
+    for (int incarnation = 1; incarnation <= 3; incarnation++) {
+      quarantine.charge(CULPRIT, incarnation);
     }
     for (int i = 1; i <= 3 * Quarantine.MAX_SUSPECTS; i++) {
       quarantine.charge(digest(i), i);
@@ -215,26 +221,27 @@
   }
 
   /**
-   * A third of the servers end in 34 s for other reasons. Requests last half a second and are sent
-   * up to four times, by the VM and by their caller; all of them are as long as any other.
+   * A third of the servers crash within 34 s for other reasons. Requests take half a second and are
+   * sent up to four times, counting retries of the VM and of the caller. All of them are looked up
+   * by digest, as if all bodies had the same length.
    */
   @Test
   public void noneOf200000InnocentRequestsIsQuarantinedOnADayOfCrashes() {
     Random random = new Random(1);
     int servers = 13;
-    double endsInOneSend = (1.0 / 3) * (0.5 / 34);
-    int refused = 0;
+    double crashProbability = (1.0 / 3) * (0.5 / 34);
+    int quarantined = 0;
     for (int i = 1; i <= 200_000; i++) {
-      for (int send = 0; send < 4; send++) {
-        if (random.nextDouble() >= endsInOneSend) {
+      for (int attempt = 0; attempt < 4; attempt++) {
+        if (random.nextDouble() >= crashProbability) {
           quarantine.endedWell(digest(i));
           break;
         }
-        quarantine.charge(digest(i), send * servers + random.nextInt(servers));
+        quarantine.charge(digest(i), attempt * servers + random.nextInt(servers));
       }
-      refused += quarantine.holds(digest(i)) ? 1 : 0;
+      quarantined += quarantine.holds(digest(i)) ? 1 : 0;
       ticker.pass(1);
     }
-    assertEquals(refused, 0);
+    assertEquals(quarantined, 0);
   }
 }
