--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ClaimGate.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ClaimGate.java
@@ -15,14 +15,16 @@
  */
 package org.landingtrack.internal.dispatch;
 
-/** Claims request keys for requests that must run at most once. */
+/** Claims request keys for requests that must run at most once. Implementations are thread-safe. */
 public interface ClaimGate {
   /**
-   * Claims a key or throws: DUPLICATE_KEY if another request holds it, PLATFORM_UNAVAILABLE if that
-   * cannot be settled now.
+   * Claims a request key for a request.
+   *
+   * @throws org.landingtrack.LandingtrackException of kind DUPLICATE_KEY if another request holds
+   *     the key, of kind PLATFORM_UNAVAILABLE if this cannot be determined now
    */
   void claim(String keyHash, String requestId);
 
-  /** Gives a claim up because its request never ran. */
+  /** Releases the claim of a request that did not run. */
   void release(String keyHash, String requestId);
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/DispatchReport.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/DispatchReport.java
@@ -18,10 +18,13 @@
 import org.landingtrack.internal.engine.Usage;
 
 /**
- * How a whole answer came about.
+ * Describes how the complete answer to a model request was produced.
  *
- * @param ttftMs time from arrival to the first token
- * @param attempts attempts that were made
+ * @param server name of the backend server that completed the answer
+ * @param weightVersion version of the weights that produced it
+ * @param ttftMs time in milliseconds from the arrival of the request to its first token
+ * @param attempts number of attempts; refusals that only reported another weight version or loading
+ *     weights do not count
  */
 public record DispatchReport(
     String server, String weightVersion, Usage usage, double ttftMs, int attempts) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/HolderLookup.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/HolderLookup.java
@@ -19,9 +19,12 @@
 import org.landingtrack.internal.peer.Messages.Holder;
 import org.landingtrack.internal.prefix.PrefixChain;
 
-/** Finds who holds the blocks of a prompt. The answer is a hint; none is a valid answer. */
+/**
+ * Finds the engines and store VMs that hold the blocks of a prompt. The result is a hint and may be
+ * empty.
+ */
 @FunctionalInterface
 public interface HolderLookup {
-  /** Returns the holders, deepest first. */
+  /** Returns the holders of a prompt's prefix, those with the most blocks first. */
   List<Holder> holders(String service, PrefixChain chain);
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/KeptRestore.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/KeptRestore.java
@@ -25,31 +25,36 @@
 import org.landingtrack.internal.prefix.PrefixChain;
 import org.landingtrack.internal.routing.RouteOption;
 
-/** Brings kept state to the chosen engine before its request; without it the engine computes. */
+/**
+ * Restores stored KV cache blocks to the selected engine before it gets the request. If a restore
+ * fails, the engine recomputes the blocks. Used by the thread of one request.
+ */
 final class KeptRestore {
-  /** An engine keeps restored blocks so long for the request that they were restored for. */
+  /** Longest time for which an engine pins restored blocks for the request that needs them. */
   private static final long MAX_PIN_MS = 5_000;
 
   private static final long MIN_TIMEOUT_MS = 50;
 
-  /** A restore may take so many times what it was expected to take. */
+  /** The timeout of a restore, as a multiple of its estimated duration. */
   private static final int SLACK = 4;
 
   private final ModelDispatcher parts;
   private final LinkBudget links;
   private final Trace trace;
 
-  KeptRestore(ModelDispatcher parts, LinkBudget links, Trace trace) {
-    this.parts = parts;
-    this.links = links;
+  KeptRestore(ModelDispatcher dispatcher, LinkBudget linkBudget, Trace trace) {
+    this.parts = dispatcher;
+    this.links = linkBudget;
     this.trace = trace;
   }
 
   /**
-   * Restores what an option says, if the budget still allows it.
+   * Restores the blocks that a route option plans, unless the link budget is used up or the store
+   * VM is no longer in the catalog.
    *
    * @param engine address of the engine
-   * @param bytesPerSecond this gateway's share of the link's budget
+   * @param bytesPerSecond this gateway's share of the link budget
+   * @param deadlineMs deadline of the request on the monotonic clock; ends the pin of the blocks
    */
   void run(
       RouteOption option,
@@ -60,24 +65,27 @@
     if (!option.restores() || !links.tryTake(option.linkBytes(), bytesPerSecond)) {
       return;
     }
-    Optional<String> store = address(option.restoreFrom());
-    if (store.isEmpty()) {
+    Optional<String> storeAddress = address(option.restoreFrom());
+    if (storeAddress.isEmpty()) {
       return;
     }
-    long began = parts.ticker.millis();
+    long startMs = parts.ticker.millis();
     List<String> keys = chain.keys().subList(0, option.reusedBlocks());
     long timeoutMs = Math.max(MIN_TIMEOUT_MS, (long) (SLACK * option.restoreMs()));
-    long pinMs = Math.min(MAX_PIN_MS, Math.max(1, deadlineMs - began));
-    KeptImport order = new KeptImport(store.get(), option.kept(), keys, pinMs, timeoutMs);
-    long moved = parts.client.importKept(engine, order);
-    long tookMs = Math.max(1, parts.ticker.millis() - began);
-    if (moved == 0) {
+    long pinMs = Math.min(MAX_PIN_MS, Math.max(1, deadlineMs - startMs));
+    KeptImport kvImport = new KeptImport(storeAddress.get(), option.kept(), keys, pinMs, timeoutMs);
+    long movedBytes = parts.client.importKept(engine, kvImport);
+    long tookMs = Math.max(1, parts.ticker.millis() - startMs);
+    if (movedBytes == 0) {
       links.failed();
-      trace.say("The restore from " + option.restoreFrom() + " brought nothing; it is recomputed.");
+      trace.say(
+          "The restore from "
+              + option.restoreFrom()
+              + " moved no bytes; the engine recomputes the blocks.");
       return;
     }
-    links.observed(moved, (double) tookMs);
-    trace.say("Restored " + moved + " bytes of kept state in " + tookMs + " ms.");
+    links.observed(movedBytes, (double) tookMs);
+    trace.say("Restored " + movedBytes + " bytes of KV cache in " + tookMs + " ms.");
   }
 
   private Optional<String> address(String store) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ModelDispatcher.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ModelDispatcher.java
@@ -25,7 +25,10 @@
 import org.landingtrack.internal.routing.RoutingPolicy;
 import org.landingtrack.internal.routing.ServerTable;
 
-/** Runs model requests: routes, claims, sends, retries and resumes. Thread-safe. */
+/**
+ * Runs model requests: selects a backend server, claims the request key, sends the request, retries
+ * it and resumes broken streams. Thread-safe.
+ */
 public final class ModelDispatcher {
   final Supplier<Catalog> catalog;
   final ServerTable servers;
@@ -50,16 +53,19 @@
   }
 
   /**
-   * Runs a request to its whole answer.
+   * Runs a request until its answer is complete. Blocks the calling thread.
    *
-   * @throws org.landingtrack.LandingtrackException with what is known about the run
+   * @param sink receives the tokens as they arrive
+   * @param trace receives the reasons for each decision
+   * @throws org.landingtrack.LandingtrackException if there is no complete answer; its kind says
+   *     whether the request ran
    */
   public DispatchReport run(ModelRequest request, TokenSink sink, Trace trace)
       throws InterruptedException {
     return new ModelRun(this, request, sink, trace).run();
   }
 
-  /** Collects the parts of a dispatcher. */
+  /** Builds a {@link ModelDispatcher}. Not thread-safe. */
   public static final class Builder {
     private final Supplier<Catalog> catalog;
     private final ServerTable servers;
@@ -74,35 +80,35 @@
     public Builder(
         Supplier<Catalog> catalog,
         ServerTable servers,
-        ServiceGates gates,
+        ServiceGates serviceLimiters,
         BackendClient client,
         RoutingPolicy policy) {
       this.catalog = catalog;
       this.servers = servers;
-      this.gates = gates;
+      this.gates = serviceLimiters;
       this.client = client;
       this.policy = policy;
     }
 
-    /** Sets where holders of a prompt are looked up; by default nothing is known. */
+    /** Sets the lookup of the holders of a prompt; by default it finds none. */
     public Builder setHolders(HolderLookup holders) {
       this.holders = holders;
       return this;
     }
 
-    /** Sets how request keys are claimed; by default every claim is refused. */
+    /** Sets where request keys are claimed; by default every claim is refused. */
     public Builder setClaims(ClaimGate claims) {
       this.claims = claims;
       return this;
     }
 
-    /** Sets the clock. */
+    /** Sets the clock; by default the system's. */
     public Builder setTicker(Ticker ticker) {
       this.ticker = ticker;
       return this;
     }
 
-    /** Sets the gateway's own data centre. */
+    /** Sets the data centre of the gateway; by default empty. */
     public Builder setDataCentre(String dataCentre) {
       this.dataCentre = dataCentre;
       return this;
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ModelRequest.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ModelRequest.java
@@ -19,13 +19,14 @@
 import org.landingtrack.internal.catalog.Service;
 
 /**
- * A checked request for a model service.
+ * A validated request to a model service.
  *
- * @param prompt all of the messages as one text, for the content keys
- * @param noRepeat true if it must run at most once
- * @param keyHash hash of team and request key; empty if there is none
- * @param weight the team's weight with its priority
- * @param deadlineMs monotonic time by which the first token must come
+ * @param prompt all messages as one text, from which the block keys are computed
+ * @param priority the request's priority, passed on to the engine
+ * @param weight weight in the fair queue, from the team's weight and the priority
+ * @param noRepeat true if the request must run at most once
+ * @param keyHash hash of the team and the request key; empty if the request has no key
+ * @param deadlineMs time on the monotonic clock by which the first token must arrive
  */
 public record ModelRequest(
     String id,
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ModelRun.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ModelRun.java
@@ -37,17 +37,22 @@
 import org.landingtrack.internal.routing.ServerState;
 
 /**
- * One request on its way through routing, claim, attempts and resumes. Used by one thread.
+ * Executes one model request: server selection, claim of the request key, attempts and resumed
+ * streams. Used by one thread.
  *
- * <p>The rule for another attempt: after {@code NotRun} it is always allowed; after a broken stream
- * only a request that may be repeated starts anew, and never under another weight version once
- * tokens were sent on.
+ * <p>Rules for a further attempt: it is always allowed after {@link CompletionOutcome.NotRun}.
+ * After a broken stream that cannot be resumed, only a request that may be repeated is sent again.
+ * Once tokens were delivered to the caller, every further attempt uses the same weight version.
  */
 final class ModelRun implements TokenSink {
+  /** Longest gap between two tokens; also the time limit for the first token after a resume. */
   private static final long IDLE_MS = 10_000;
 
   private static final int MAX_ATTEMPTS = 6;
+
+  /** Refusals about loaded weights that are followed by a further attempt without a retry. */
   private static final int MAX_WEIGHT_REFUSALS = 64;
+
   private static final int EXPLAINED_OPTIONS = 4;
 
   private final ModelDispatcher parts;
@@ -72,14 +77,14 @@
   private long sentTokens;
   private long sentMs;
 
-  ModelRun(ModelDispatcher parts, ModelRequest request, TokenSink caller, Trace trace) {
-    this.parts = parts;
+  ModelRun(ModelDispatcher dispatcher, ModelRequest request, TokenSink sink, Trace trace) {
+    this.parts = dispatcher;
     this.request = request;
-    this.caller = caller;
+    this.caller = sink;
     this.trace = trace;
-    this.gate = parts.gates.gate(request.serviceName(), request.service());
-    this.queries = new RouteQueryFactory(parts, request, gate);
-    this.startMs = parts.ticker.millis();
+    this.gate = dispatcher.gates.gate(request.serviceName(), request.service());
+    this.queries = new RouteQueryFactory(dispatcher, request, gate);
+    this.startMs = dispatcher.ticker.millis();
   }
 
   DispatchReport run() throws InterruptedException {
@@ -87,7 +92,7 @@
     gate.queue().enter(request.team(), request.weight(), request.deadlineMs());
     long enteredMs = parts.ticker.millis();
     if (enteredMs - startMs > 1) {
-      trace.say("It waited " + (enteredMs - startMs) + " ms for its turn.");
+      trace.say("The request waited " + (enteredMs - startMs) + " ms in the queue.");
     }
     try {
       return attemptAll();
@@ -98,17 +103,21 @@
     }
   }
 
-  /** Gives the claim back if nothing ran, and never says "not run" if something may have. */
-  private LandingtrackException settle(LandingtrackException e) {
-    boolean saysNotRun = e.kind().runState() == RunState.NOT_RUN;
-    if (saysNotRun && mayHaveRun) {
+  /**
+   * Returns the exception for the caller. Releases the claim if nothing ran. Reports an unknown
+   * outcome instead of "not run" if an earlier attempt may have run.
+   */
+  private LandingtrackException settle(LandingtrackException failure) {
+    boolean isNotRun = failure.kind().runState() == RunState.NOT_RUN;
+    if (isNotRun && mayHaveRun) {
       return new LandingtrackException(
-          ErrorKind.OUTCOME_UNKNOWN, "an attempt may have run; then: " + e.getMessage());
+          ErrorKind.OUTCOME_UNKNOWN,
+          "an earlier attempt may have run; the last one failed: " + failure.getMessage());
     }
-    if (claimed && saysNotRun) {
+    if (claimed && isNotRun) {
       parts.claims.release(request.keyHash(), request.id());
     }
-    return e;
+    return failure;
   }
 
   private DispatchReport attemptAll() {
@@ -123,14 +132,16 @@
         return report;
       }
       if (isAboutWeights(outcome) && weightRefusals++ < MAX_WEIGHT_REFUSALS) {
-        // Learning what a server has loaded is no retry: nothing failed.
+        // A refusal that only reports the loaded weights is not a failure, so it costs no retry.
         attempts--;
         continue;
       }
       if (attempts >= MAX_ATTEMPTS || !gate.retries().tryRetry()) {
         throw new LandingtrackException(
             delivered > 0 ? ErrorKind.OUTCOME_UNKNOWN : ErrorKind.OVERLOADED,
-            "no retry is left after " + attempts + " attempts");
+            "no retry is left after "
+                + attempts
+                + " attempts (attempt limit or retry budget reached)");
       }
     }
   }
@@ -146,60 +157,65 @@
     }
   }
 
-  /** What was chosen: the server, the version that its answer will be of, and the keys for it. */
+  /** The selected server with its estimate, the weight version to request and the block keys. */
   private record Route(ServerState state, RouteOption option, String version, PrefixChain chain) {}
 
   private Route route() {
     Catalog catalog = parts.catalog.get();
-    VersionChoice choice = chooseVersion(catalog);
-    String version = choice.version();
+    VersionChoice selection = chooseVersion(catalog);
+    String version = selection.version();
     PrefixChain chain = chain(version);
-    RouteDecision decision = parts.policy.decide(queries.query(catalog, chain, choice));
+    RouteDecision decision = parts.policy.decide(queries.query(catalog, chain, selection));
     Optional<RouteOption> chosen = decision.chosen();
     decision.rejected().forEach(trace::say);
     if (chosen.isEmpty()) {
       throw new LandingtrackException(
           ErrorKind.NO_BACKEND_SERVER,
-          "no backend server of " + request.serviceName() + " can take the request now");
+          "no usable backend server of " + request.serviceName() + " for the request now");
     }
     explain(decision, version);
     refuseIfHopeless(chosen.get());
     Optional<ServerState> state = parts.servers.find(chosen.get().server());
     if (state.isEmpty()) {
       throw new LandingtrackException(
-          ErrorKind.NO_BACKEND_SERVER, "the chosen backend server was removed just now");
+          ErrorKind.NO_BACKEND_SERVER,
+          "the selected backend server was removed from the catalog a moment ago");
     }
     return new Route(state.get(), chosen.get(), version, chain);
   }
 
   /**
-   * Work that cannot bring its first token in time would only take others' time; and while others
-   * wait, work that delays them by more than this request's own time is better done later.
+   * Rejects a request that is not expected to deliver its first token before the deadline, if the
+   * queue wait alone takes more than half of the remaining time: it would only take capacity from
+   * other requests. Also rejects a request whose prefill would delay the waiting requests by more
+   * than its own remaining time; the caller is to retry it later. Requests that already delivered
+   * tokens are never rejected here.
    */
   private void refuseIfHopeless(RouteOption best) {
-    long leftMs = request.deadlineMs() - parts.ticker.millis();
+    long remainingMs = request.deadlineMs() - parts.ticker.millis();
     if (delivered > 0) {
       return;
     }
-    boolean isLate = best.ttftMs() > leftMs && best.queueMs() * 2 > leftMs;
+    boolean isLate = best.ttftMs() > remainingMs && best.queueMs() * 2 > remainingMs;
     if (isLate) {
-      throw overloaded("no backend server can start it before the deadline", best.queueMs());
+      throw overloaded(
+          "no backend server can start the request before its deadline", best.queueMs());
     }
-    if (best.waitersMs() > leftMs) {
-      throw overloaded("its work would delay those that wait for too long", best.ttftMs());
+    if (best.waitersMs() > remainingMs) {
+      throw overloaded("the request would delay the waiting requests for too long", best.ttftMs());
     }
   }
 
-  private static LandingtrackException overloaded(String why, double backInMs) {
-    int retryAfterS = (int) Math.max(1, Math.ceil(backInMs / 1_000));
-    return new LandingtrackException(ErrorKind.OVERLOADED, why, retryAfterS);
+  private static LandingtrackException overloaded(String reason, double retryAfterMs) {
+    int retryAfterS = (int) Math.max(1, Math.ceil(retryAfterMs / 1_000));
+    return new LandingtrackException(ErrorKind.OVERLOADED, reason, retryAfterS);
   }
 
   private void explain(RouteDecision decision, String version) {
     int shown = 0;
     for (RouteOption option : decision.options()) {
-      String lead = shown == 0 ? "Chosen under weight version " + version + ": " : "Not chosen: ";
-      trace.say(lead + option.sentence());
+      String prefix = shown == 0 ? "Chosen under weight version " + version + ": " : "Not chosen: ";
+      trace.say(prefix + option.sentence());
       shown++;
       if (shown == EXPLAINED_OPTIONS) {
         break;
@@ -213,17 +229,17 @@
     if (delivered > 0) {
       return VersionChoice.only(deliveredVersion, states, now);
     }
-    String wanted = VersionChoice.wanted(catalog, request);
-    VersionChoice choice = VersionChoice.choose(wanted, states, weightRefusals == 0, now);
-    if (!choice.version().equals(wanted)) {
+    String configured = VersionChoice.wanted(catalog, request);
+    VersionChoice selection = VersionChoice.choose(configured, states, weightRefusals == 0, now);
+    if (!selection.version().equals(configured)) {
       trace.say(
           "No backend server has weight version "
-              + wanted
-              + " yet; "
-              + choice.version()
+              + configured
+              + " yet; version "
+              + selection.version()
               + " is used.");
     }
-    return choice;
+    return selection;
   }
 
   private PrefixChain chain(String version) {
@@ -235,10 +251,10 @@
     if (claimed || request.keyHash().isEmpty() || !request.noRepeat()) {
       return;
     }
-    // Set first: a claim that is not confirmed may still hold, and is then given back.
+    // Set before the call: an unconfirmed claim may still have been stored and must be released.
     claimed = true;
     parts.claims.claim(request.keyHash(), request.id());
-    trace.say("Its request key was claimed, so that it runs at most once.");
+    trace.say("The request key was claimed so that the request runs at most once.");
   }
 
   private CompletionOutcome attempt(Route route) {
@@ -261,7 +277,7 @@
       deliveredVersion = route.version();
       CompletionOutcome outcome = parts.client.complete(address, call, this);
       if (outcome instanceof CompletionOutcome.Broken broken && delivered > 0) {
-        trace.say("The stream broke at token " + delivered + ": " + broken.why() + ".");
+        trace.say("The stream broke at token offset " + delivered + ": " + broken.why() + ".");
         outcome = parts.client.resume(address, call, delivered, this);
       }
       return outcome;
@@ -286,7 +302,10 @@
         IDLE_MS);
   }
 
-  /** Returns the report of a whole answer, null for another attempt, or throws the final answer. */
+  /**
+   * Records the outcome of an attempt. Returns the report of a complete answer, or null if a
+   * further attempt is allowed.
+   */
   private @Nullable DispatchReport conclude(Route route, CompletionOutcome outcome) {
     ServerState state = route.state();
     String name = route.option().server();
@@ -296,11 +315,11 @@
       state.hasWeightVersion(route.version(), now);
       trace.say(
           name
-              + " answered whole: "
+              + " sent a complete answer: "
               + whole.usage().cachedTokens()
               + " of "
               + whole.usage().promptTokens()
-              + " prompt tokens were reused.");
+              + " prompt tokens came from its prefix cache.");
       return new DispatchReport(name, route.version(), whole.usage(), ttftMs, attempts);
     }
     if (outcome instanceof CompletionOutcome.NotRun notRun) {
@@ -312,7 +331,7 @@
       learnWait(state, now);
       throw new LandingtrackException(
           late.ran() ? ErrorKind.DEADLINE_IN_RUN : ErrorKind.DEADLINE_BEFORE_RUN,
-          "no first token came from " + name + " before the deadline");
+          "no first token arrived from " + name + " before the deadline");
     }
     if (outcome instanceof CompletionOutcome.Failed failed) {
       noteFault(state, name, failed.why(), ErrorKind.FAILED_IN_RUN);
@@ -322,21 +341,23 @@
     return null;
   }
 
-  /** Notes an attempt that ran or may have; only a request that may be repeated goes on. */
-  private void noteFault(ServerState state, String name, String why, ErrorKind kind) {
+  /**
+   * Records an attempt that ran or may have run, and throws if the request must not be repeated.
+   */
+  private void noteFault(ServerState state, String name, String reason, ErrorKind kind) {
     mayHaveRun = true;
     state.failed(parts.ticker.millis());
-    trace.say(name + " broke off after " + delivered + " tokens: " + why + ".");
+    trace.say(name + " failed after " + delivered + " delivered tokens: " + reason + ".");
     excluded.add(name);
     if (request.noRepeat()) {
       throw new LandingtrackException(
-          kind, name + " broke off and the request must not be repeated: " + why);
+          kind, name + " failed and the request must not be repeated: " + reason);
     }
   }
 
   private void noteNotRun(
       ServerState state, CompletionOutcome.NotRun notRun, String name, long now) {
-    trace.say(name + " did not run it: " + notRun.why() + ".");
+    trace.say(name + " did not run the request: " + notRun.why() + ".");
     switch (notRun.reason()) {
       case OTHER_VERSION -> {
         state.hasWeightVersion(notRun.currentWeightVersion(), now);
@@ -365,11 +386,14 @@
     delivered = offset + 1;
   }
 
-  /** Learns what requests wait at servers, from a first token or from waiting for it in vain. */
+  /**
+   * Records how long the request waited at a server beyond its own prefill. Called at the first
+   * token or when the deadline passed without one.
+   */
   private void learnWait(ServerState server, long now) {
     double elapsedMs = now - sentMs;
-    double workMs = Math.min(elapsedMs, sentTokens * server.msPerToken());
-    gate.limit().observed(elapsedMs - workMs, workMs, gate.queue().running(), sentMs, now);
+    double prefillMs = Math.min(elapsedMs, sentTokens * server.msPerToken());
+    gate.limit().observed(elapsedMs - prefillMs, prefillMs, gate.queue().running(), sentMs, now);
     gate.queue().firstTokenAfter(elapsedMs);
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/PlainDispatcher.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/PlainDispatcher.java
@@ -33,7 +33,10 @@
 import org.landingtrack.internal.routing.ServerState;
 import org.landingtrack.internal.routing.ServerTable;
 
-/** Runs calls of plain services on the server with the fewest calls. Thread-safe. */
+/**
+ * Runs calls to plain HTTP services on the backend server with the fewest requests in flight
+ * relative to its capacity. Thread-safe.
+ */
 public final class PlainDispatcher {
   private static final int MAX_ATTEMPTS = 3;
 
@@ -47,23 +50,25 @@
   public PlainDispatcher(
       Supplier<Catalog> catalog,
       ServerTable servers,
-      ServiceGates gates,
+      ServiceGates serviceLimiters,
       BackendClient client,
       ClaimGate claims,
       Ticker ticker) {
     this.catalog = catalog;
     this.servers = servers;
-    this.gates = gates;
+    this.gates = serviceLimiters;
     this.client = client;
     this.claims = claims;
     this.ticker = ticker;
   }
 
   /**
-   * A checked call.
+   * A validated call to a plain service.
    *
-   * @param repeatable true if it may run more than once
-   * @param keyHash hash of team and request key; empty if there is none
+   * @param weight weight in the fair queue
+   * @param repeatable true if the call may run more than once
+   * @param keyHash hash of the team and the request key; empty if the call has no key
+   * @param deadlineMs time on the monotonic clock until which the call may wait in the queue
    */
   public record PlainRequest(
       String team,
@@ -75,32 +80,39 @@
       String keyHash,
       long deadlineMs) {}
 
-  /** Runs a call to its whole answer, or throws what is known about it. */
+  /**
+   * Runs a call until its answer is complete. Blocks the calling thread.
+   *
+   * @throws LandingtrackException if there is no complete answer; its kind says whether the call
+   *     ran
+   */
   public PlainOutcome.Whole run(PlainRequest request, Trace trace) throws InterruptedException {
-    ServiceGates.Gate gate = gates.gate(request.serviceName(), request.service());
-    gate.retries().request(request.service().retryPercent());
-    gate.queue().enter(request.team(), request.weight(), request.deadlineMs());
+    ServiceGates.Gate limiters = gates.gate(request.serviceName(), request.service());
+    limiters.retries().request(request.service().retryPercent());
+    limiters.queue().enter(request.team(), request.weight(), request.deadlineMs());
     long enteredMs = ticker.millis();
     boolean claimed = false;
     try {
       if (!request.repeatable() && !request.keyHash().isEmpty()) {
-        // Set first: a claim that is not confirmed may still hold, and is then given back.
+        // Set before the call: an unconfirmed claim may still have been stored, and must then be
+        // released.
         claimed = true;
         claims.claim(request.keyHash(), request.call().requestId());
-        trace.say("Its request key was claimed, so that it runs at most once.");
+        trace.say("The request key was claimed so that the request runs at most once.");
       }
-      return attemptAll(request, gate, trace);
+      return attemptAll(request, limiters, trace);
     } catch (LandingtrackException e) {
       if (claimed && e.kind().runState() == RunState.NOT_RUN) {
         claims.release(request.keyHash(), request.call().requestId());
       }
       throw e;
     } finally {
-      gate.queue().leave(ticker.millis() - enteredMs);
+      limiters.queue().leave(ticker.millis() - enteredMs);
     }
   }
 
-  private PlainOutcome.Whole attemptAll(PlainRequest request, ServiceGates.Gate gate, Trace trace) {
+  private PlainOutcome.Whole attemptAll(
+      PlainRequest request, ServiceGates.Gate limiters, Trace trace) {
     Set<String> excluded = new HashSet<>();
     boolean mayHaveRun = false;
     for (int attempt = 1; ; attempt++) {
@@ -112,24 +124,25 @@
         trace.say(name + " answered with status " + whole.status() + ".");
         return whole;
       }
-      boolean fault = true;
-      String why = "";
+      boolean isFault = true;
+      String reason = "";
       if (outcome instanceof PlainOutcome.NotRun notRun) {
-        fault = notRun.fault();
-        why = "did not run it: " + notRun.why();
+        isFault = notRun.fault();
+        reason = "did not run the call: " + notRun.why();
       } else if (outcome instanceof PlainOutcome.Unknown unknown) {
         mayHaveRun = true;
-        why = "may have run it: " + unknown.why();
+        reason = "may have run the call: " + unknown.why();
       }
-      trace.say(name + " " + why + ".");
-      if (fault) {
+      trace.say(name + " " + reason + ".");
+      if (isFault) {
         state.failed(ticker.millis());
       }
       excluded.add(name);
       boolean mayRetry = !mayHaveRun || request.repeatable();
-      if (!mayRetry || attempt >= MAX_ATTEMPTS || !gate.retries().tryRetry()) {
+      if (!mayRetry || attempt >= MAX_ATTEMPTS || !limiters.retries().tryRetry()) {
         throw new LandingtrackException(
-            mayHaveRun ? ErrorKind.OUTCOME_UNKNOWN : ErrorKind.NO_BACKEND_SERVER, name + " " + why);
+            mayHaveRun ? ErrorKind.OUTCOME_UNKNOWN : ErrorKind.NO_BACKEND_SERVER,
+            name + " " + reason);
       }
     }
   }
@@ -155,6 +168,8 @@
             () ->
                 new LandingtrackException(
                     mayHaveRun ? ErrorKind.OUTCOME_UNKNOWN : ErrorKind.NO_BACKEND_SERVER,
-                    "no backend server of " + request.serviceName() + " can take the call now"));
+                    "no backend server of "
+                        + request.serviceName()
+                        + " is usable for the call now"));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/RefusingClaimGate.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/RefusingClaimGate.java
@@ -18,11 +18,13 @@
 import org.landingtrack.ErrorKind;
 import org.landingtrack.LandingtrackException;
 
-/** Stands where nothing can settle claims: refuses them all. */
+/** Refuses every claim; used where no claim store is configured. Thread-safe. */
 final class RefusingClaimGate implements ClaimGate {
   @Override
   public void claim(String keyHash, String requestId) {
-    throw new LandingtrackException(ErrorKind.PLATFORM_UNAVAILABLE, "claims cannot be settled now");
+    throw new LandingtrackException(
+        ErrorKind.PLATFORM_UNAVAILABLE,
+        "request keys cannot be claimed: no claim store is configured");
   }
 
   @Override
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/RetryBudget.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/RetryBudget.java
@@ -15,9 +15,15 @@
  */
 package org.landingtrack.internal.dispatch;
 
-/** Retries as a share of requests, so that an outage never turns into a storm. Thread-safe. */
+/**
+ * Limits retries to a share of the requests, so that an outage does not cause a retry storm. A
+ * token bucket that requests fill and retries drain. Thread-safe.
+ */
 public final class RetryBudget {
+  /** Default maximum of accumulated retries. */
   private static final double MAX_SAVED = 20;
+
+  /** Retries available at the start. */
   private static final double FIRST_SAVED = 3;
 
   private final double maxSaved;
@@ -27,23 +33,23 @@
     this(MAX_SAVED);
   }
 
-  /** Creates a budget in which no more than so many retries can be saved up. */
-  public RetryBudget(double maxSaved) {
-    this.maxSaved = maxSaved;
-    this.saved = Math.min(FIRST_SAVED, maxSaved);
+  /** Creates a budget that accumulates at most {@code capacity} retries. */
+  public RetryBudget(double capacity) {
+    this.maxSaved = capacity;
+    this.saved = Math.min(FIRST_SAVED, capacity);
   }
 
-  /** Notes a request; it earns a share of a retry. */
+  /** Records a request, which adds {@code percent} hundredths of a retry to the budget. */
   public synchronized void request(double percent) {
     saved = Math.min(maxSaved, saved + percent / 100);
   }
 
-  /** Returns true if there is a retry left. */
+  /** Returns true if at least one retry is available. */
   public synchronized boolean hasSaved() {
     return saved >= 1;
   }
 
-  /** Takes one retry; returns false if there is none left. */
+  /** Takes one retry from the budget; returns false if none is available. */
   public synchronized boolean tryRetry() {
     if (saved < 1) {
       return false;
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/RouteQueryFactory.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/RouteQueryFactory.java
@@ -24,50 +24,53 @@
 import org.landingtrack.internal.prefix.PrefixChain;
 import org.landingtrack.internal.routing.RouteQuery;
 
-/** Puts together what a routing decision for one request is made from. */
+/** Creates the input of the routing decision for one request. Used by the request's thread. */
 final class RouteQueryFactory {
+  /** Estimated time of a restore apart from the transfer of its bytes. */
   private static final double RESTORE_FIXED_MS = 3;
+
+  /** Used if the catalog does not have the weight version or its model. */
   private static final int DEFAULT_KV_BYTES_PER_TOKEN = 1_000;
 
   private final ModelDispatcher parts;
   private final ModelRequest request;
   private final ServiceGates.Gate gate;
 
-  RouteQueryFactory(ModelDispatcher parts, ModelRequest request, ServiceGates.Gate gate) {
-    this.parts = parts;
+  RouteQueryFactory(ModelDispatcher dispatcher, ModelRequest request, ServiceGates.Gate limiters) {
+    this.parts = dispatcher;
     this.request = request;
-    this.gate = gate;
+    this.gate = limiters;
   }
 
-  /** Returns the query for the servers of one weight version. */
-  RouteQuery query(Catalog catalog, PrefixChain chain, VersionChoice choice) {
+  /** Returns the query for the candidate servers of one weight version. */
+  RouteQuery query(Catalog catalog, PrefixChain chain, VersionChoice selection) {
     Service service = request.service();
     RouteQuery.Weights weights =
         new RouteQuery.Weights(
             service.weightTtft(), service.weightRecompute(), service.weightLink());
     return new RouteQuery(
         chain,
-        choice.servers(),
+        selection.servers(),
         parts.holders.holders(request.serviceName(), chain),
         weights,
-        links(catalog, choice.version()),
-        parts.gates.pressure(gate, choice.servers().size()),
+        links(catalog, selection.version()),
+        parts.gates.pressure(gate, selection.servers().size()),
         parts.dataCentre,
         parts.ticker.millis());
   }
 
   private RouteQuery.Links links(Catalog catalog, String version) {
     LinkBudget links = gate.links();
-    double rate = linkBytesPerSecond();
+    double bytesPerSecond = linkBytesPerSecond();
     return new RouteQuery.Links(
         links.bytesPerMs(),
-        links.available(rate),
-        links.scarcity(rate),
+        links.available(bytesPerSecond),
+        links.scarcity(bytesPerSecond),
         kvBytesPerToken(catalog, version),
         RESTORE_FIXED_MS);
   }
 
-  /** Returns this gateway's share of the link's budget. */
+  /** Returns this gateway's share of the service's link budget, in bytes per second. */
   double linkBytesPerSecond() {
     return (double) request.service().linkBytesPerSecond() / parts.gates.gateways();
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ServiceGates.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ServiceGates.java
@@ -29,11 +29,12 @@
 import org.landingtrack.internal.kept.LinkBudget;
 
 /**
- * What a gateway keeps for each service: its queue, its retry budget and its share of the links.
- * Services do not share any of it, so that trouble of one leaves the others alone. Thread-safe.
+ * Holds the limiters of each service at this gateway: queue, concurrency limit, retry budget and
+ * link budget. Each service has its own, so that a failing or overloaded service does not affect
+ * the others. Thread-safe.
  */
 public final class ServiceGates {
-  /** Requests let through for each place in the engines' batches, so that batches stay full. */
+  /** Requests admitted per slot in the engines' batches; above 1 so that batches stay full. */
   private static final double OVERCOMMIT = 1.25;
 
   private final Supplier<Catalog> catalog;
@@ -46,7 +47,15 @@
     this.ticker = ticker;
   }
 
-  /** What belongs to one service. */
+  /**
+   * The limiters of one service.
+   *
+   * @param queue admits waiting requests in fair order
+   * @param limit limits the requests in flight by the waits seen at the backend servers
+   * @param retries limits retries
+   * @param links limits the bytes restored from store VMs
+   * @param maxQueue maximum length of the queue
+   */
   public record Gate(
       FairQueue queue,
       ConcurrencyLimit limit,
@@ -54,31 +63,35 @@
       LinkBudget links,
       int maxQueue) {}
 
-  /** Sets how many gateways share the services. */
+  /** Sets the number of live gateways that share the services. */
   public void sharedBy(int liveGateways) {
     gateways = Math.max(1, liveGateways);
   }
 
-  /** Returns how many gateways share the services. */
+  /** Returns the number of gateways that share the services, at least 1. */
   public int gateways() {
     return gateways;
   }
 
   /**
-   * Returns how many requests of a gate wait for each backend server's worth of this gateway's
-   * share: each millisecond of work at a server delays so many requests by as much.
+   * Returns the number of queued requests per backend server, where this gateway's share of a
+   * server is 1 / {@link #gateways()}. Each millisecond of work at a server delays that many
+   * requests by a millisecond.
    */
-  public double pressure(Gate gate, int servers) {
-    return servers == 0 ? 0 : (double) gate.queue().waiting() * gateways / servers;
+  public double pressure(Gate limiters, int servers) {
+    return servers == 0 ? 0 : (double) limiters.queue().waiting() * gateways / servers;
   }
 
-  /** Returns the gate of a service. */
+  /**
+   * Returns the limiters of a service. Creates them for a new service or if its maximum queue
+   * length changed.
+   */
   public Gate gate(String name, Service service) {
     return gates.compute(
         name,
-        (n, known) ->
-            known != null && known.maxQueue == service.maxQueue()
-                ? known
+        (key, existing) ->
+            existing != null && existing.maxQueue == service.maxQueue()
+                ? existing
                 : newGate(name, service.maxQueue()));
   }
 
@@ -92,32 +105,45 @@
         maxQueue);
   }
 
-  /** What a service's gate holds now. */
+  /**
+   * The current load of one service at this gateway.
+   *
+   * @param running requests that were admitted and have not ended
+   * @param waiting requests in the queue
+   * @param limit requests that may run at once
+   */
   public record State(String service, int running, int waiting, int limit) {}
 
-  /** Returns the state of every gate. */
+  /** Returns the current load of every service that had a request. */
   public List<State> state() {
-    List<State> states = new ArrayList<>();
+    List<State> loads = new ArrayList<>();
     gates.forEach(
-        (name, gate) ->
-            states.add(
+        (name, limiters) ->
+            loads.add(
                 new State(
-                    name, gate.queue.running(), gate.queue.waiting(), slots(name, gate.limit))));
-    return states;
+                    name,
+                    limiters.queue.running(),
+                    limiters.queue.waiting(),
+                    slots(name, limiters.limit))));
+    return loads;
   }
 
-  /** At least one request for each server's worth of this gateway's share, at most all places. */
+  /**
+   * Returns the number of requests that may run at once: at least one per server and at most all
+   * batch slots with overcommit, both divided by the number of gateways. Draining servers do not
+   * count.
+   */
   private int slots(String service, ConcurrencyLimit limit) {
-    double places = 0;
+    double batchSlots = 0;
     int servers = 0;
     for (NamedBackendServer server : catalog.get().servers(service)) {
       if (!server.spec().draining()) {
-        places += server.spec().maxConcurrent();
+        batchSlots += server.spec().maxConcurrent();
         servers++;
       }
     }
-    int most = (int) Math.max(1, Math.ceil(places * OVERCOMMIT / gateways));
-    int least = Math.max(1, servers / gateways);
-    return limit.between(Math.min(least, most), most);
+    int max = (int) Math.max(1, Math.ceil(batchSlots * OVERCOMMIT / gateways));
+    int min = Math.max(1, servers / gateways);
+    return limit.between(Math.min(min, max), max);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/VersionChoice.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/VersionChoice.java
@@ -27,19 +27,20 @@
 import org.landingtrack.internal.routing.ServerView;
 
 /**
- * The weight version that a request runs under, and the servers that have it.
+ * The weight version requested for an attempt and the candidate servers for it.
  *
- * <p>A gateway learns versions only from answers and refusals. During a swap a server that had
- * another version is therefore asked again after a while; a request asks one such server at most,
- * so that learning costs it one round trip.
+ * <p>A gateway learns the loaded versions only from answers and refusals. During a weight swap it
+ * therefore probes a server that had another version again after a while. Each request probes at
+ * most one such server, so that the probe costs it one round trip.
  *
- * @param version the version to ask for
- * @param servers servers that have it or may have it
+ * @param version the weight version to request
+ * @param servers servers that have the version or may have it
  */
 record VersionChoice(String version, List<ServerView> servers) {
 
   /**
-   * Returns the version that the catalog names for the request's service; empty if it names none.
+   * Returns the version that the catalog names for the request's service, else the version in the
+   * request's copy of the service; empty if neither names one.
    */
   static String wanted(Catalog catalog, ModelRequest request) {
     String fromCatalog =
@@ -47,16 +48,16 @@
             .find(Kind.SERVICE, request.serviceName(), Service.class)
             .map(Service::weightVersion)
             .orElse(null);
-    String own = request.service().weightVersion();
-    return fromCatalog != null ? fromCatalog : own == null ? "" : own;
+    String requested = request.service().weightVersion();
+    return fromCatalog != null ? fromCatalog : requested == null ? "" : requested;
   }
 
-  /** Returns the servers for one version and no other. */
+  /** Returns the servers that have a version or whose version is unknown. */
   static VersionChoice only(String version, List<ServerState> states, long nowMs) {
     List<ServerView> servers = new ArrayList<>();
     for (ServerState state : states) {
-      HasVersion has = state.hasVersion(version, nowMs);
-      if (has == HasVersion.YES || has == HasVersion.NEVER_HEARD) {
+      HasVersion known = state.hasVersion(version, nowMs);
+      if (known == HasVersion.YES || known == HasVersion.NEVER_HEARD) {
         servers.add(state.view(nowMs));
       }
     }
@@ -64,38 +65,39 @@
   }
 
   /**
-   * Returns the servers for the wanted version or, while none has it, for the one that most have.
+   * Returns the servers for the configured version or, if no server has it, for the version that
+   * most servers have.
    *
-   * @param mayProbe whether servers that had another version a while ago count as well
+   * @param mayProbe true if servers that had another version a while ago are candidates as well
    */
   static VersionChoice choose(
-      String wanted, List<ServerState> states, boolean mayProbe, long nowMs) {
-    VersionChoice choice = only(wanted, states, nowMs);
+      String configured, List<ServerState> states, boolean mayProbe, long nowMs) {
+    VersionChoice selection = only(configured, states, nowMs);
     if (mayProbe) {
       for (ServerState state : states) {
-        if (state.hasVersion(wanted, nowMs) == HasVersion.STALE) {
-          choice.servers.add(state.view(nowMs));
+        if (state.hasVersion(configured, nowMs) == HasVersion.STALE) {
+          selection.servers.add(state.view(nowMs));
         }
       }
     }
-    if (!choice.servers.isEmpty()) {
-      return choice;
+    if (!selection.servers.isEmpty()) {
+      return selection;
     }
-    return only(mostCommon(wanted, states, nowMs), states, nowMs);
+    return only(mostCommon(configured, states, nowMs), states, nowMs);
   }
 
-  private static String mostCommon(String wanted, List<ServerState> states, long nowMs) {
+  private static String mostCommon(String configured, List<ServerState> states, long nowMs) {
     Map<String, Integer> counts = new HashMap<>();
-    String best = wanted;
-    int most = 0;
+    String mostCommon = configured;
+    int maxCount = 0;
     for (ServerState state : states) {
       String version = state.view(nowMs).weightVersion();
       int count = counts.merge(version, 1, Integer::sum);
-      if (count > most) {
-        best = version;
-        most = count;
+      if (count > maxCount) {
+        mostCommon = version;
+        maxCount = count;
       }
     }
-    return best;
+    return mostCommon;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/package-info.java
@@ -1,3 +1,3 @@
-/** Sending a request to a backend server: attempts, retries, streams. */
+/** Sends requests to backend servers: server selection, attempts, retries and token streams. */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.dispatch;
--- a/landingtrack/src/test/java/org/landingtrack/internal/dispatch/ModelRunTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/dispatch/ModelRunTest.java
@@ -45,7 +45,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What becomes of a request for every way in which attempts can end, in tables. */
+/**
+ * Tests the result of a request for each sequence of attempt outcomes: complete answers without
+ * missing or repeated tokens, truthful error kinds, and released claims.
+ */
 public final class ModelRunTest {
   private static final int TOKENS = 5;
   private static final Service SERVICE =
@@ -60,9 +63,15 @@
   private static final CompletionOutcome WHOLE =
       new CompletionOutcome.Whole(new Usage(10, 0, TOKENS));
 
-  /** One scripted call: the tokens that come before the end. */
+  /**
+   * The scripted outcome of one call.
+   *
+   * @param upTo offset after the last token that the call delivers
+   * @param end outcome after these tokens
+   */
   private record Step(int upTo, CompletionOutcome end) {}
 
+  /** Ends its calls with the scripted outcomes, in order, and records the calls. */
   private static final class ScriptedClient extends StubBackendClient {
     private final List<Step> steps;
     private final List<String> calls = new ArrayList<>();
@@ -105,6 +114,7 @@
     public void load(LoadReport report) {}
   }
 
+  /** Grants every claim and counts the releases. */
   private static final class CountingGate implements ClaimGate {
     private int releases;
 
@@ -177,16 +187,16 @@
   @DataProvider
   public Object[][] wholeInTheEnd() {
     return new Object[][] {
-      {"at once", false, List.of(whole()), 1},
-      {"refused, then elsewhere", false, List.of(end(NOT_RUN), whole()), 2},
+      {"complete at the first attempt", false, List.of(whole()), 1},
+      {"refused, then another server", false, List.of(end(NOT_RUN), whole()), 2},
       {"no connection twice", false, List.of(end(NO_CONNECTION), end(NO_CONNECTION), whole()), 3},
       {"not to be repeated, refused", true, List.of(end(NOT_RUN), whole()), 2},
       {"cut before a token", false, List.of(cutAt(0), whole()), 2},
-      {"cut, resumed at its offset", false, List.of(cutAt(2), whole()), 1},
+      {"cut, resumed at the offset", false, List.of(cutAt(2), whole()), 1},
       {"cut, resumed though not to be repeated", true, List.of(cutAt(2), whole()), 1},
-      {"cut, resume fails, elsewhere", false, List.of(cutAt(2), cutAt(0), whole()), 2},
-      {"cut twice on the way", false, List.of(cutAt(1), cutAt(3), whole()), 2},
-      {"the run failed, elsewhere", false, List.of(end(FAILED), whole()), 2},
+      {"cut, resume fails, then another server", false, List.of(cutAt(2), cutAt(0), whole()), 2},
+      {"cut twice, resume fails once", false, List.of(cutAt(1), cutAt(3), whole()), 2},
+      {"the run failed, then another server", false, List.of(end(FAILED), whole()), 2},
     };
   }
 
@@ -201,12 +211,18 @@
   @DataProvider
   public Object[][] refusals() {
     return new Object[][] {
-      // name, not to be repeated, steps, kind, runs at the engines at most
+      // case, not to be repeated, steps, error kind, expected attempts
       {"cut before a token", true, List.of(cutAt(0)), ErrorKind.OUTCOME_UNKNOWN, 1},
       {"cut and not resumed", true, List.of(cutAt(2), cutAt(0)), ErrorKind.OUTCOME_UNKNOWN, 1},
-      {"failed in its run", true, List.of(end(FAILED)), ErrorKind.FAILED_IN_RUN, 1},
-      {"late in the queue", true, List.of(end(LATE_QUEUED)), ErrorKind.DEADLINE_BEFORE_RUN, 1},
-      {"late in its run", false, List.of(end(LATE_RAN)), ErrorKind.DEADLINE_IN_RUN, 1},
+      {"the run failed", true, List.of(end(FAILED)), ErrorKind.FAILED_IN_RUN, 1},
+      {
+        "deadline passed in the queue",
+        true,
+        List.of(end(LATE_QUEUED)),
+        ErrorKind.DEADLINE_BEFORE_RUN,
+        1
+      },
+      {"deadline passed in the run", false, List.of(end(LATE_RAN)), ErrorKind.DEADLINE_IN_RUN, 1},
       {
         "all refuse",
         true,
@@ -222,7 +238,7 @@
         4
       },
       {
-        "may have run, then late in the queue",
+        "may have run, then deadline passed in the queue",
         false,
         List.of(cutAt(0), end(LATE_QUEUED)),
         ErrorKind.OUTCOME_UNKNOWN,
@@ -231,19 +247,19 @@
     };
   }
 
-  /** "Not run" is said only when it is true, and a claim is given back exactly then. */
+  /** An error says "not run" only if nothing ran, and the claim is released exactly then. */
   @Test(dataProvider = "refusals")
   public void theRefusalSaysWhatIsKnown(
       String name, boolean noRepeat, List<Step> steps, ErrorKind kind, int runs) {
     ScriptedClient client = new ScriptedClient(steps);
-    int released = gate.releases;
+    int releasesBefore = gate.releases;
     LandingtrackException e =
         expectThrows(LandingtrackException.class, () -> run(client, noRepeat));
     assertEquals(e.kind(), kind, name + ": " + e.getMessage());
     long attempts = client.calls.stream().filter(call -> call.startsWith("run")).count();
     assertEquals(attempts, runs, name);
-    boolean gaveBack = gate.releases > released;
-    assertEquals(gaveBack, noRepeat && kind.runState() == RunState.NOT_RUN, name);
+    boolean isReleased = gate.releases > releasesBefore;
+    assertEquals(isReleased, noRepeat && kind.runState() == RunState.NOT_RUN, name);
   }
 
   @Test
@@ -260,7 +276,10 @@
     assertTrue(client.calls.get(4).startsWith("run v0"), client.calls.toString());
   }
 
-  /** Learning the versions of many servers must not use up the attempts or the retry budget. */
+  /**
+   * Refusals that only report another weight version must not use up the attempts or the retry
+   * budget.
+   */
   @Test
   public void learningVersionsIsNoRetry() throws Exception {
     List<Step> steps = new ArrayList<>();
--- a/landingtrack/src/test/java/org/landingtrack/internal/dispatch/OverloadTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/dispatch/OverloadTest.java
@@ -44,7 +44,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A request that cannot be served in time is refused at once and reaches no engine. */
+/**
+ * Tests load shedding: a request that cannot meet its deadline is rejected at once and reaches no
+ * engine.
+ */
 public final class OverloadTest {
   private static final Service SERVICE =
       new Service("model", "v1", 1, 0, 0, 1_000_000, 10, 100, null);
@@ -65,7 +68,7 @@
   @DataProvider
   public Object[][] queues() {
     return new Object[][] {
-      // tokens that every engine has in its queue, deadline, whether it is served
+      // tokens queued at every engine, deadline in ms, whether the request is served
       {0L, 1_000L, true},
       {10_000L, 1_000L, true},
       {100_000L, 1_000L, false},
@@ -74,17 +77,18 @@
   }
 
   @Test(dataProvider = "queues")
-  public void whatCannotStartInTimeIsRefusedAtOnce(long queued, long deadlineMs, boolean served)
-      throws InterruptedException {
+  public void whatCannotStartInTimeIsRefusedAtOnce(
+      long queuedTokens, long deadlineMs, boolean isServed) throws InterruptedException {
     Catalog catalog = catalog();
     ServerTable servers = new ServerTable();
     catalog
         .servers("llm")
         .forEach(
-            server -> servers.state(server).reported(new LoadReport(queued, 1, ticker.millis())));
+            server ->
+                servers.state(server).reported(new LoadReport(queuedTokens, 1, ticker.millis())));
     ModelDispatcher dispatcher = dispatcher(catalog, servers);
     runs = 0;
-    if (served) {
+    if (isServed) {
       dispatcher.run(request(deadlineMs), new NoSink(), new Trace());
       assertEquals(runs, 1);
       return;
@@ -95,7 +99,7 @@
             () -> dispatcher.run(request(deadlineMs), new NoSink(), new Trace()));
     assertEquals(e.kind(), ErrorKind.OVERLOADED);
     assertEquals(e.kind().runState(), RunState.NOT_RUN);
-    assertTrue(e.retryAfterSeconds() >= 1, "no time to come back");
+    assertTrue(e.retryAfterSeconds() >= 1, "the error states no retry time");
     assertEquals(runs, 0);
   }
 
@@ -111,9 +115,9 @@
 
   private ModelDispatcher dispatcher(Catalog catalog, ServerTable servers) {
     SplittableRandom random = new SplittableRandom(1);
-    ServiceGates gates = new ServiceGates(() -> catalog, ticker);
+    ServiceGates serviceLimiters = new ServiceGates(() -> catalog, ticker);
     return new ModelDispatcher.Builder(
-            () -> catalog, servers, gates, client, new CostPolicy(() -> random))
+            () -> catalog, servers, serviceLimiters, client, new CostPolicy(() -> random))
         .setTicker(ticker)
         .build();
   }
--- a/landingtrack/src/test/java/org/landingtrack/internal/dispatch/StubBackendClient.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/dispatch/StubBackendClient.java
@@ -23,7 +23,10 @@
 import org.landingtrack.internal.engine.PlainOutcome;
 import org.landingtrack.internal.engine.TokenSink;
 
-/** A client of which a test fills in the calls that it expects. */
+/**
+ * A backend client whose calls are unsupported or have no effect; tests override the calls that
+ * they expect.
+ */
 abstract class StubBackendClient implements BackendClient {
   @Override
   public CompletionOutcome resume(String address, CompletionCall call, int from, TokenSink sink) {
--- a/landingtrack/src/test/java/org/landingtrack/internal/dispatch/WeightSwapRoutingTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/dispatch/WeightSwapRoutingTest.java
@@ -44,11 +44,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Where requests run while engines go from one weight version to the next, without processes. */
+/**
+ * Tests which servers get requests while engines swap to another weight version. Uses in-process
+ * engines.
+ */
 public final class WeightSwapRoutingTest {
   private static final int SERVERS = 8;
 
-  /** Engines that load when told, refuse another version, and refuse while they load. */
+  /** Engines that refuse requests while they load weights and requests for another version. */
   private static final class SwappingEngines extends StubBackendClient {
     private final Map<String, String> versions = new HashMap<>();
     private final Set<String> loading = new HashSet<>();
@@ -89,7 +92,7 @@
   }
 
   private static Service service(String version) {
-    // No share of retries at all: a swap must not need any.
+    // The retry share is 0: a weight swap must not need retries.
     return new Service("model", version, 1, 0, 0, 1_000_000, 10, 0, null);
   }
 
@@ -104,7 +107,7 @@
   }
 
   private ModelDispatcher dispatcher() {
-    // Taking the servers in turn shows which of them are candidates.
+    // Round robin shows which servers are candidates.
     return new ModelDispatcher.Builder(
             () -> catalog,
             new ServerTable(),
@@ -153,9 +156,12 @@
     return new Object[][] {{1}, {2}, {3}};
   }
 
-  /** Nobody is refused on the way, and afterwards the work is again on all engines. */
+  /**
+   * No request fails during the swap, and afterwards all engines get requests without refusals.
+   * Guards against servers that stay unused because the gateway last saw them with the old version.
+   */
   @Test(dataProvider = "stepsAtOnce")
-  public void aSwapRefusesNobodyAndLeavesNoEngineIdle(int atOnce) throws Exception {
+  public void aSwapRefusesNobodyAndLeavesNoEngineIdle(int groupSize) throws Exception {
     for (int i = 0; i < SERVERS; i++) {
       engines.versions.put(address(i), "v1");
     }
@@ -163,12 +169,12 @@
     dispatcher = dispatcher();
     ask(200);
     catalog = catalog("v2");
-    for (int first = 0; first < SERVERS; first += atOnce) {
-      for (int i = first; i < Math.min(SERVERS, first + atOnce); i++) {
+    for (int first = 0; first < SERVERS; first += groupSize) {
+      for (int i = first; i < Math.min(SERVERS, first + groupSize); i++) {
         engines.loading.add(address(i));
       }
       ask(20);
-      for (int i = first; i < Math.min(SERVERS, first + atOnce); i++) {
+      for (int i = first; i < Math.min(SERVERS, first + groupSize); i++) {
         engines.versions.put(address(i), "v2");
       }
       engines.loading.clear();
@@ -184,7 +190,7 @@
     assertEquals(engines.refusals, 0);
   }
 
-  /** Asking an engine whether it has turned costs each request one refusal at most. */
+  /** Probing an engine for the new version costs each request at most one refusal. */
   @Test
   public void aRequestProbesOneEngineAtMost() throws Exception {
     ask(200);
