--- a/landingtrack/src/main/java/org/landingtrack/internal/prefix/PrefixChain.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/prefix/PrefixChain.java
@@ -23,31 +23,34 @@
 import org.landingtrack.internal.base.Hashes;
 
 /**
- * Content keys of a prompt's blocks. Each key covers everything before it, and the salt of team,
- * service and weight version: a block of another team or version can therefore never have the same
- * key.
+ * The chained content hashes (block keys) of a prompt's blocks. Immutable.
  *
- * @param keys one key for each whole block, in order; 32 hex digits (128 bits of SHA-256) each
- * @param promptBytes length of the whole prompt
+ * <p>Each key hashes its block, everything before it, and a salt of team, service and weight
+ * version. A block of another team, service or version therefore never has the same key.
+ *
+ * @param keys one key per whole block, in order; 32 hex digits (128 bits of SHA-256) each
+ * @param promptBytes length of the whole prompt in bytes of UTF-8
  */
 public record PrefixChain(List<String> keys, int promptBytes) {
-  /** Bytes of prompt in a block. */
+  /** Prompt bytes per block. */
   public static final int BLOCK_BYTES = 2_048;
 
-  /** Estimated bytes of prompt in a token. */
+  /** Estimated prompt bytes per token. */
   public static final int BYTES_PER_TOKEN = 4;
 
-  /** Tokens in a block, by estimate. */
+  /** Estimated tokens per block. */
   public static final int BLOCK_TOKENS = BLOCK_BYTES / BYTES_PER_TOKEN;
 
+  /** Blocks beyond this number get no key. */
   private static final int MAX_BLOCKS = 512;
+
   private static final int KEY_BYTES = 16;
 
   public PrefixChain {
     keys = List.copyOf(keys);
   }
 
-  /** Computes the chain of a prompt. */
+  /** Computes the block keys of a prompt. */
   public static PrefixChain of(String team, String service, String weightVersion, String prompt) {
     byte[] bytes = prompt.getBytes(StandardCharsets.UTF_8);
     MessageDigest digest = Hashes.sha256();
@@ -66,7 +69,7 @@
   private static byte[] salt(MessageDigest digest, String... parts) {
     for (String part : parts) {
       byte[] bytes = part.getBytes(StandardCharsets.UTF_8);
-      // The length in front keeps ("ab", "c") and ("a", "bc") apart.
+      // The length prefix makes ("ab", "c") and ("a", "bc") hash differently.
       digest.update((byte) (bytes.length >> 8));
       digest.update((byte) bytes.length);
       digest.update(bytes);
@@ -74,22 +77,25 @@
     return digest.digest();
   }
 
-  /** Returns the key that decides which controller knows about this prompt; empty if too short. */
+  /**
+   * Returns the key of the first block, which selects the controller that tracks the holders of
+   * this prompt; empty if the prompt is shorter than a block.
+   */
   public String group() {
     return keys.isEmpty() ? "" : keys.get(0);
   }
 
-  /** Returns the number of whole blocks. */
+  /** Returns the number of blocks with a key. */
   public int depth() {
     return keys.size();
   }
 
-  /** Returns the estimated tokens of the prompt. */
+  /** Returns the estimated number of tokens of the prompt, at least 1. */
   public int promptTokens() {
     return Math.max(1, promptBytes / BYTES_PER_TOKEN);
   }
 
-  /** Returns the estimated tokens that are left to compute when so many blocks are reused. */
+  /** Returns the estimated number of tokens to compute if blocks are reused, at least 1. */
   public int tokensAfter(int reusedBlocks) {
     return Math.max(1, promptTokens() - reusedBlocks * BLOCK_TOKENS);
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/prefix/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/prefix/package-info.java
@@ -1,3 +1,3 @@
-/** Content keys of prompt prefixes. */
+/** Computes content hashes of prompt prefixes. */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.prefix;
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/BaselinePolicies.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/BaselinePolicies.java
@@ -23,11 +23,11 @@
 import org.landingtrack.internal.base.Hashes;
 import org.landingtrack.internal.routing.CostModel.Reuse;
 
-/** Plain policies to measure the product's policy against. */
+/** Simple routing policies: baselines that {@link CostPolicy} is compared with. */
 public final class BaselinePolicies {
   private BaselinePolicies() {}
 
-  /** Takes the servers in turn. */
+  /** Returns a policy that selects the usable servers in turn. */
   public static RoutingPolicy roundRobin() {
     AtomicLong turn = new AtomicLong();
     return query -> {
@@ -41,7 +41,10 @@
     };
   }
 
-  /** Takes the server with the fewest requests for its size. */
+  /**
+   * Returns a policy that selects the server with the fewest requests relative to its capacity,
+   * with pseudo-random order among equals.
+   */
   public static RoutingPolicy leastLoaded() {
     return by(
         server ->
@@ -49,7 +52,7 @@
                 / server.maxConcurrent());
   }
 
-  /** Takes the servers by rendezvous of the prompt's first block. */
+  /** Returns a policy that orders the servers by rendezvous hash of the prompt's first block. */
   public static RoutingPolicy prefixHash() {
     return query ->
         decision(query, Hashes.rendezvous(query.chain().group(), usable(query), ServerView::name));
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/CostModel.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/CostModel.java
@@ -19,26 +19,44 @@
 import org.landingtrack.internal.routing.RouteQuery.Links;
 import org.landingtrack.internal.routing.RouteQuery.Weights;
 
-/** Estimates what running a request in one way costs. */
+/**
+ * Estimates the cost of a route option: a server together with the blocks that it reuses or
+ * restores. Times are in milliseconds. Stateless.
+ */
 final class CostModel {
-  /** A load report older than this says nothing about now. */
+  /** Load reports older than this are ignored: they do not show the current load. */
   static final long REPORT_FRESH_MS = 2_000;
 
+  /** Assumed network time to a server in the gateway's data centre, and to one in another. */
   private static final double NETWORK_SAME_MS = 0.5;
+
   private static final double NETWORK_OTHER_MS = 3;
 
-  /** What a server without any fresh report is assumed to have in its queue, in tokens. */
+  /**
+   * Tokens assumed in a server's queue without a fresh report; an eighth of them is added if this
+   * gateway has no request there.
+   */
   private static final long UNKNOWN_QUEUE_TOKENS = PrefixChain.BLOCK_TOKENS;
 
-  /** Assumed time until a full batch frees one place. */
+  /** Assumed time until a full batch frees one slot. */
   private static final double SLOT_WAIT_MS = 200;
 
-  /** Bounds the price of a link whose budget is used up, to twenty times its time. */
+  /**
+   * Lower bound of the unused share of a link budget: limits the surcharge of a used-up link to
+   * about twenty times the duration of the restore.
+   */
   private static final double MIN_BUDGET_SHARE = 0.05;
 
   private CostModel() {}
 
-  /** What the option reuses: by the server itself, and by a restore on top of it. */
+  /**
+   * The blocks that an option reuses.
+   *
+   * @param blocks all reused blocks, both cached by the server and restored
+   * @param restoreFrom store VM to restore from; empty for no restore
+   * @param kept manifest to restore; empty for no restore
+   * @param restoreBlocks blocks to restore in addition to those that the server has cached
+   */
   record Reuse(int blocks, String restoreFrom, String kept, int restoreBlocks) {
     static Reuse local(int blocks) {
       return new Reuse(blocks, "", "", 0);
@@ -46,9 +64,9 @@
   }
 
   /**
-   * Estimates one way.
+   * Estimates one route option.
    *
-   * @param evictedBlocks blocks of other prompts that the server gives up for this one's
+   * @param evictedBlocks blocks of other prompts that the server evicts for this prompt's
    */
   static RouteOption option(RouteQuery query, ServerView server, Reuse reuse, int evictedBlocks) {
     PrefixChain chain = query.chain();
@@ -61,12 +79,12 @@
     long bytes = (long) reuse.restoreBlocks() * blockBytes(links);
     double restoreMs = bytes == 0 ? 0 : links.fixedMs() + bytes / links.bytesPerMs();
     double ttftMs = networkMs + queueMs + restoreMs + prefillMs;
-    double waitersMs = query.pressure() * prefillMs;
-    double othersMs =
-        waitersMs + evictionMs(query, server, evictedBlocks) + scarcityMs(links, restoreMs);
+    double waitingDelayMs = query.pressure() * prefillMs;
+    double othersDelayMs =
+        waitingDelayMs + evictionMs(query, server, evictedBlocks) + scarcityMs(links, restoreMs);
     Weights weights = query.weights();
     double cost =
-        weights.ttftMs() * (ttftMs + othersMs)
+        weights.ttftMs() * (ttftMs + othersDelayMs)
             + weights.recomputedToken() * tokens
             + weights.linkMegabyte() * bytes / 1e6;
     return new RouteOption(
@@ -81,15 +99,15 @@
         prefillMs,
         tokens,
         bytes,
-        waitersMs,
-        othersMs,
+        waitingDelayMs,
+        othersDelayMs,
         ttftMs,
         cost);
   }
 
   /**
-   * What evicted prompts cost when they return: a restore, or computing where that is quicker, by
-   * work that delays those that wait in its turn.
+   * Returns the later cost of evicted blocks: the time to restore or to recompute them, whichever
+   * is shorter, together with the delay that this work causes to waiting requests.
    */
   private static double evictionMs(RouteQuery query, ServerView server, int evictedBlocks) {
     Links links = query.links();
@@ -98,24 +116,30 @@
     return (1 + query.pressure()) * Math.min(restoreMs, computeMs);
   }
 
-  /** A restore over a link whose budget is nearly used up will soon make others compute. */
+  /**
+   * Returns the surcharge for a link whose budget is nearly used up: a restore over it soon forces
+   * other requests to recompute their blocks.
+   */
   private static double scarcityMs(Links links, double restoreMs) {
-    double price = 1 / (1 - links.scarcity() + MIN_BUDGET_SHARE) - 1;
-    return Math.max(0, price) * restoreMs;
+    double surcharge = 1 / (1 - links.scarcity() + MIN_BUDGET_SHARE) - 1;
+    return Math.max(0, surcharge) * restoreMs;
   }
 
+  /** Returns the size of a block's KV cache in bytes. */
   static long blockBytes(Links links) {
     return (long) links.kvBytesPerToken() * PrefixChain.BLOCK_TOKENS;
   }
 
   /**
-   * Time until the server turns to this request. A fresh report is corrected by what this gateway
-   * sent since; a stale one decays to "unknown", never to "idle".
+   * Returns the estimated queue wait at a server. A fresh load report is corrected by the tokens
+   * that this gateway sent since. Without a fresh report the queue counts as unknown, never as
+   * empty: the estimate then uses the pending tokens of this gateway's own requests, or a small
+   * assumed queue if it has none there.
    */
   static double queueMs(ServerView server, long nowMs) {
-    long age = nowMs - server.report().atMs();
+    long ageMs = nowMs - server.report().atMs();
     long tokens;
-    if (age <= REPORT_FRESH_MS) {
+    if (ageMs <= REPORT_FRESH_MS) {
       tokens =
           Math.max(
               server.pendingTokens(),
@@ -125,10 +149,10 @@
     }
     double waitMs = tokens * server.msPerToken();
     int running =
-        Math.max(server.inFlight(), age <= REPORT_FRESH_MS ? server.report().running() : 0);
-    int over = running - server.maxConcurrent() + 1;
-    if (over > 0) {
-      waitMs += over * SLOT_WAIT_MS;
+        Math.max(server.inFlight(), ageMs <= REPORT_FRESH_MS ? server.report().running() : 0);
+    int excess = running - server.maxConcurrent() + 1;
+    if (excess > 0) {
+      waitMs += excess * SLOT_WAIT_MS;
     }
     return waitMs;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/CostPolicy.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/CostPolicy.java
@@ -28,20 +28,26 @@
 import org.landingtrack.internal.routing.CostModel.Reuse;
 
 /**
- * The product's policy: the cheapest way among a few candidates.
+ * Selects the option with the lowest estimated cost among a few candidates. The default policy.
  *
- * <p>Candidates are the servers that hold part of the prompt, the first {@link #HASHED} servers by
- * rendezvous of the prompt's first block (where it probably is when nothing is known), and the
- * better ones of a random sample. The work for one decision therefore does not grow with the number
- * of servers, but for one cheap scan.
+ * <p>Candidates are the servers that have blocks of the prompt cached, the first {@link #HASHED}
+ * servers by rendezvous hash of the prompt's first block (the likely place of the prompt if no
+ * holder is known), and the less loaded servers of random pairs. Apart from one cheap scan, the
+ * work for a decision therefore does not grow with the number of servers.
  */
 public final class CostPolicy implements RoutingPolicy {
-  /** Candidates by rendezvous. */
+  /** Number of candidates by rendezvous hash. */
   static final int HASHED = 2;
 
+  /** Number of random pairs of servers; the less loaded one of each is a candidate. */
   private static final int SAMPLED = 4;
+
+  /** Up to this number of servers, all of them are candidates. */
   private static final int CONSIDER_ALL = 24;
+
+  /** Costs that are equal after rounding to a multiple of this are tied. */
   private static final double TIE = 1e-6;
+
   private static final Holder NO_HOLDER = new Holder("", 0, "");
 
   private final Supplier<RandomGenerator> random;
@@ -53,21 +59,22 @@
   @Override
   public RouteDecision decide(RouteQuery query) {
     List<String> rejected = new ArrayList<>();
-    Map<String, Integer> heldDepth = heldDepths(query);
-    Holder kept = bestKept(query);
+    Map<String, Integer> cachedDepth = heldDepths(query);
+    Holder stored = bestKept(query);
     ServerView[] hashed = hashed(query);
-    String home = query.servers().isEmpty() ? "" : hashed[0].name();
+    String preferred = query.servers().isEmpty() ? "" : hashed[0].name();
     List<RouteOption> options = new ArrayList<>();
-    for (ServerView server : candidates(query, heldDepth, hashed)) {
+    for (ServerView server : candidates(query, cachedDepth, hashed)) {
       if (!server.isUsable()) {
-        rejected.add(server.name() + ": ejected after failures.");
+        rejected.add(server.name() + ": not usable, ejected after failures or leaving.");
         continue;
       }
-      int held = heldDepth.getOrDefault(server.name(), 0);
-      // A prompt's first server by rendezvous is where it belongs; a copy elsewhere displaces.
-      int evicted = server.name().equals(home) ? 0 : query.chain().depth() - held;
-      options.add(CostModel.option(query, server, Reuse.local(held), evicted));
-      addRestore(query, server, held, evicted, kept, options, rejected);
+      int cached = cachedDepth.getOrDefault(server.name(), 0);
+      // The first server by rendezvous hash is the prompt's own place. A copy on another server
+      // evicts blocks of other prompts.
+      int evicted = server.name().equals(preferred) ? 0 : query.chain().depth() - cached;
+      options.add(CostModel.option(query, server, Reuse.local(cached), evicted));
+      addRestore(query, server, cached, evicted, stored, options, rejected);
     }
     sort(options, query);
     return new RouteDecision(options, rejected);
@@ -96,12 +103,12 @@
   private static void addRestore(
       RouteQuery query,
       ServerView server,
-      int held,
+      int cached,
       int evicted,
-      Holder kept,
+      Holder stored,
       List<RouteOption> options,
       List<String> rejected) {
-    int missing = kept.depth() - held;
+    int missing = stored.depth() - cached;
     if (missing <= 0) {
       return;
     }
@@ -110,11 +117,14 @@
       rejected.add(server.name() + ": no restore, the link's budget is used up.");
       return;
     }
-    Reuse reuse = new Reuse(kept.depth(), kept.server(), kept.kept(), missing);
+    Reuse reuse = new Reuse(stored.depth(), stored.server(), stored.kept(), missing);
     options.add(CostModel.option(query, server, reuse, evicted));
   }
 
-  /** Returns the first servers by rendezvous of the prompt's first block. */
+  /**
+   * Returns the first {@link #HASHED} servers by rendezvous hash of the prompt's first block; later
+   * elements are null if there are fewer servers.
+   */
   private static ServerView[] hashed(RouteQuery query) {
     long group = Hashes.placement(query.chain().group());
     ServerView[] hashed = new ServerView[HASHED];
@@ -126,14 +136,14 @@
   }
 
   private List<ServerView> candidates(
-      RouteQuery query, Map<String, Integer> heldDepth, ServerView[] hashed) {
+      RouteQuery query, Map<String, Integer> cachedDepth, ServerView[] hashed) {
     List<ServerView> servers = query.servers();
     if (servers.size() <= CONSIDER_ALL) {
       return servers;
     }
     Map<String, ServerView> chosen = new LinkedHashMap<>();
     for (ServerView server : servers) {
-      if (heldDepth.containsKey(server.name())) {
+      if (cachedDepth.containsKey(server.name())) {
         chosen.put(server.name(), server);
       }
     }
@@ -151,27 +161,28 @@
     return List.copyOf(chosen.values());
   }
 
-  /** Keeps the heaviest servers in order. */
+  /** Inserts a server into an array ordered by descending weight if it is heavy enough. */
   private static void insert(ServerView[] best, long[] weights, ServerView server, long weight) {
-    ServerView moving = server;
-    long movingWeight = weight;
+    ServerView inserted = server;
+    long insertedWeight = weight;
     for (int i = 0; i < best.length; i++) {
-      if (best[i] == null || movingWeight > weights[i]) {
-        ServerView pushed = best[i];
-        long pushedWeight = weights[i];
-        best[i] = moving;
-        weights[i] = movingWeight;
-        if (pushed == null) {
+      if (best[i] == null || insertedWeight > weights[i]) {
+        ServerView displaced = best[i];
+        long displacedWeight = weights[i];
+        best[i] = inserted;
+        weights[i] = insertedWeight;
+        if (displaced == null) {
           return;
         }
-        moving = pushed;
-        movingWeight = pushedWeight;
+        inserted = displaced;
+        insertedWeight = displacedWeight;
       }
     }
   }
 
   /**
-   * Orders by cost; among equals the rendezvous order of the prompt keeps returning ones together.
+   * Orders options by cost. Ties are in rendezvous order of the prompt's first block, so that
+   * repeated prompts go to the same server.
    */
   private static void sort(List<RouteOption> options, RouteQuery query) {
     long group = Hashes.placement(query.chain().group());
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/LoadReport.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/LoadReport.java
@@ -16,13 +16,13 @@
 package org.landingtrack.internal.routing;
 
 /**
- * What a model engine said about its load, and when it was heard.
+ * The load that a model engine reported, and when this gateway received the report.
  *
- * @param queuedTokens prompt tokens that wait to be computed
- * @param running requests in its batch
- * @param atMs when it was heard, on the monotonic clock
+ * @param queuedTokens prompt tokens that wait for their prefill
+ * @param running requests in the engine's batch
+ * @param atMs when it was received, in milliseconds of the monotonic clock
  */
 public record LoadReport(long queuedTokens, int running, long atMs) {
-  /** Nothing was heard yet. */
+  /** The report of an engine that has not reported yet; never fresh. */
   public static final LoadReport NONE = new LoadReport(0, 0, Long.MIN_VALUE / 2);
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/RouteDecision.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/RouteDecision.java
@@ -19,9 +19,10 @@
 import java.util.Optional;
 
 /**
- * The options in order of cost; the first is chosen.
+ * The result of a routing decision.
  *
- * @param rejected why other candidates were not considered, a sentence each
+ * @param options options in order of preference; the first is selected
+ * @param rejected reasons why other candidates or restores were not considered, one sentence each
  */
 public record RouteDecision(List<RouteOption> options, List<String> rejected) {
   public RouteDecision {
@@ -29,7 +30,7 @@
     rejected = List.copyOf(rejected);
   }
 
-  /** Returns the chosen option; empty if no server can take the request. */
+  /** Returns the selected option; empty if no server is usable. */
   public Optional<RouteOption> chosen() {
     return options.isEmpty() ? Optional.empty() : Optional.of(options.get(0));
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/RouteOption.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/RouteOption.java
@@ -18,16 +18,25 @@
 import java.util.Locale;
 
 /**
- * One way to run a request, with its estimated costs.
+ * A server that may run a request, with the blocks that it reuses or restores and the estimated
+ * costs. Times are in milliseconds.
  *
- * @param reusedBlocks blocks that the server holds already or gets by the restore
- * @param restoreFrom store VM to restore from; empty for none
- * @param kept manifest to restore
- * @param restoreBlocks blocks of the manifest that are wanted
- * @param waitersMs delay of the requests that wait, by this one's work
- * @param othersMs delay of other requests by the work, the eviction and the link's use of this one
+ * @param server name of the backend server
+ * @param reusedBlocks blocks that the server has cached or gets by the restore
+ * @param restoreFrom store VM to restore from; empty for no restore
+ * @param kept manifest to restore; empty for no restore
+ * @param restoreBlocks blocks of the manifest to restore
+ * @param networkMs assumed network time
+ * @param queueMs estimated queue wait at the server
+ * @param restoreMs estimated duration of the restore; 0 for no restore
+ * @param prefillMs estimated time to compute the prompt tokens that are not reused
+ * @param recomputedTokens prompt tokens that are not reused
+ * @param linkBytes bytes that the restore moves
+ * @param waitersMs delay that the prefill causes to waiting requests
+ * @param othersMs delay caused to other requests by the prefill, the eviction and the use of the
+ *     link
  * @param ttftMs estimated time to first token
- * @param cost weighted sum; the lowest wins
+ * @param cost weighted sum of time, recomputed tokens and moved bytes; the lowest is selected
  */
 public record RouteOption(
     String server,
@@ -46,12 +55,12 @@
     double ttftMs,
     double cost) {
 
-  /** Returns true if kept state is moved to the server first. */
+  /** Returns true if blocks are restored to the server before the request is sent. */
   public boolean restores() {
     return !restoreFrom.isEmpty();
   }
 
-  /** Returns the option in one sentence. */
+  /** Returns a sentence with the option's costs, for the explanation of a request. */
   public String sentence() {
     String restore =
         restores()
@@ -64,8 +73,8 @@
             : "";
     return String.format(
         Locale.ROOT,
-        "%s: cost %.1f (network %.1f ms, queue %.1f ms%s, compute of %d tokens %.1f ms, reuse of"
-            + " %d blocks, %d bytes moved, delay of others %.1f ms).",
+        "%s: cost %.1f (network %.1f ms, queue %.1f ms%s, prefill of %d tokens %.1f ms, reuse of"
+            + " %d blocks, %d bytes moved, delay of other requests %.1f ms).",
         server,
         cost,
         networkMs,
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/RouteQuery.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/RouteQuery.java
@@ -20,17 +20,17 @@
 import org.landingtrack.internal.prefix.PrefixChain;
 
 /**
- * Everything that a routing decision rests on.
+ * The input of a routing decision.
  *
- * @param chain content keys of the prompt
- * @param servers the candidates
- * @param holders what is known about who holds the prompt's blocks, engines and store VMs
- * @param weights what the service weighs
- * @param links what moving kept state costs now
- * @param pressure requests that each millisecond of a server's work delays by as much; 0 when
- *     nobody waits
- * @param dataCentre the gateway's own
- * @param nowMs monotonic time
+ * @param chain block keys of the prompt
+ * @param servers candidate servers, including ejected ones
+ * @param holders engines and store VMs that are known to hold blocks of the prompt
+ * @param weights weights of the cost terms, from the service's settings
+ * @param links current state of the links to the store VMs
+ * @param pressure waiting requests per server: each millisecond of a server's work delays that many
+ *     requests by a millisecond; 0 if none wait
+ * @param dataCentre data centre of the gateway
+ * @param nowMs current time on the monotonic clock
  */
 public record RouteQuery(
     PrefixChain chain,
@@ -42,17 +42,23 @@
     String dataCentre,
     long nowMs) {
 
-  /** Weights of a millisecond, a recomputed token and a megabyte. */
+  /**
+   * Weights of the cost terms.
+   *
+   * @param ttftMs weight of a millisecond of time to first token and of delay of other requests
+   * @param recomputedToken weight of a prompt token that is not reused
+   * @param linkMegabyte weight of a megabyte (10^6 bytes) moved over a link
+   */
   public record Weights(double ttftMs, double recomputedToken, double linkMegabyte) {}
 
   /**
    * The state of the links to the store VMs.
    *
-   * @param bytesPerMs observed speed of a restore
-   * @param budgetBytes bytes that may be moved now
-   * @param scarcity share of the budget that is used up, 0 to 1
-   * @param kvBytesPerToken size of a token's state
-   * @param fixedMs time of a restore of no bytes
+   * @param bytesPerMs observed speed of restores
+   * @param budgetBytes bytes that the link budget allows now
+   * @param scarcity used share of the link budget, 0 to 1
+   * @param kvBytesPerToken size of a token's KV cache in bytes
+   * @param fixedMs time of a restore apart from the transfer of its bytes
    */
   public record Links(
       double bytesPerMs, long budgetBytes, double scarcity, int kvBytesPerToken, double fixedMs) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/RoutingPolicy.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/RoutingPolicy.java
@@ -15,9 +15,11 @@
  */
 package org.landingtrack.internal.routing;
 
-/** Decides where a request runs. Implementations do no I/O and are thread-safe. */
+/**
+ * Selects the backend server that runs a request. Implementations do no I/O and are thread-safe.
+ */
 @FunctionalInterface
 public interface RoutingPolicy {
-  /** Decides on one request. */
+  /** Returns the options for one request in order of preference. */
   RouteDecision decide(RouteQuery query);
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/ServerState.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/ServerState.java
@@ -19,28 +19,49 @@
 import org.landingtrack.internal.catalog.Catalog.NamedBackendServer;
 
 /**
- * What one gateway has seen of a backend server: an aggregate with its own rules for health and for
- * calibration. Thread-safe.
+ * What one gateway observed of a backend server: its load, its weight version, its health
+ * (ejection, slow start, backoff after refusals) and its learned prefill speed. Times are in
+ * milliseconds of the monotonic clock. Thread-safe.
  */
 public final class ServerState {
+  /** Consecutive failures that eject a server. */
   private static final int FAILURES_TO_EJECT = 3;
+
+  /**
+   * Duration of the first ejection; each further one without a success between lasts twice as long.
+   */
   private static final long FIRST_EJECTION_MS = 1_000;
+
   private static final long MAX_EJECTION_MS = 30_000;
+
+  /** Time after a refusal for which a server counts with a reduced capacity share. */
   private static final long REFUSED_MS = 300;
+
+  /** Capacity share of a server that refused a request a moment ago. */
   private static final double REFUSED_SHARE = 0.1;
+
+  /** Time for which a server that said that it is leaving gets no new requests. */
   private static final long LEAVING_MS = 60_000;
+
+  /** Duration of the slow start after an ejection. */
   private static final long WARM_UP_MS = 10_000;
+
+  /** Capacity share at the beginning of a slow start; it grows linearly to 1. */
   private static final double WARM_UP_SHARE = 0.25;
+
+  /** Weight of a sample that is faster than the learned speed. */
   private static final double FASTER_SMOOTHING = 0.5;
+
+  /** Largest growth of the learned time per token by one slower sample. */
   private static final double SLOWER_FACTOR = 1.05;
 
-  /** Answers with less to compute say more about the network than about the server. */
+  /** Answers with fewer computed tokens are no sample: network time dominates them. */
   private static final long MIN_TOKENS_TO_LEARN = 512;
 
-  /** A server that said it has another weight version may have changed it after so long. */
+  /** Time after which a server that reported another weight version may have changed it. */
   private static final long VERSION_FRESH_MS = 1_000;
 
-  /** Assumed time to compute a prompt token before any answer was seen. */
+  /** Assumed time to compute a prompt token before the first sample. */
   private static final double FIRST_MS_PER_TOKEN = 0.05;
 
   private final NamedBackendServer server;
@@ -63,14 +84,17 @@
     this.nameHash = Hashes.placement(server.name());
   }
 
-  /** Creates the state of a server whose configuration changed; what was seen of it stays. */
+  /**
+   * Creates the state of a server whose configuration changed. Keeps the weight version, the load
+   * report and the learned speed; health and the counts of requests in flight start anew.
+   */
   synchronized ServerState withConfiguration(NamedBackendServer changed) {
-    ServerState next = new ServerState(changed);
-    next.weightVersion = weightVersion;
-    next.weightVersionAtMs = weightVersionAtMs;
-    next.msPerToken = msPerToken;
-    next.report = report;
-    return next;
+    ServerState copy = new ServerState(changed);
+    copy.weightVersion = weightVersion;
+    copy.weightVersionAtMs = weightVersionAtMs;
+    copy.msPerToken = msPerToken;
+    copy.report = report;
+    return copy;
   }
 
   /** Returns the server's configuration. */
@@ -78,46 +102,48 @@
     return server;
   }
 
-  /** Notes a request that is sent, with the prompt tokens that it adds by estimate. */
+  /** Records a request sent to the server, with its estimated prompt tokens to compute. */
   public synchronized void sent(long tokens) {
     inFlight++;
     pendingTokens += tokens;
     sentSinceReportTokens += tokens;
   }
 
-  /** Notes that a request has its first token, or ended without one. */
+  /** Records that a request got its first token or ended without one. */
   public synchronized void prefillEnded(long tokens) {
     pendingTokens = Math.max(0, pendingTokens - tokens);
   }
 
-  /** Notes that a request ended in any way. */
+  /** Records the end of a request, whatever its outcome. */
   public synchronized void ended() {
     inFlight--;
   }
 
-  /** Notes a load report that came with an answer. */
+  /** Records a load report that arrived with an answer. */
   public synchronized void reported(LoadReport newReport) {
     report = newReport;
     sentSinceReportTokens = 0;
   }
 
-  /** Notes the weight version that the server says it has. */
+  /** Records the weight version that the server reported. */
   public synchronized void hasWeightVersion(String version, long nowMs) {
     weightVersion = version;
     weightVersionAtMs = nowMs;
   }
 
-  /** Whether a server has a weight version, as far as this gateway knows. */
+  /** Whether a server has a certain weight version, as far as this gateway knows. */
   public enum HasVersion {
+    /** The server last reported this version. */
     YES,
-    /** It was never heard to have any version. */
+    /** The server has not reported any version yet. */
     NEVER_HEARD,
-    /** It had another one a while ago; weights may have been swapped since. */
+    /** The server reported another version a while ago; its weights may have been swapped since. */
     STALE,
+    /** The server reported another version a moment ago. */
     NO
   }
 
-  /** Returns whether the server has a weight version now. */
+  /** Returns whether the server has a weight version at a time. */
   public synchronized HasVersion hasVersion(String version, long nowMs) {
     if (weightVersion.isEmpty()) {
       return HasVersion.NEVER_HEARD;
@@ -129,8 +155,12 @@
   }
 
   /**
-   * Learns the speed of the server from an answer. Other gateways' requests may have been ahead, so
-   * the speed follows the quickest answers: fast downwards, slowly upwards.
+   * Learns the prefill speed of the server from an answer. Requests of other gateways may have been
+   * ahead in its queue, so the estimate follows the fastest answers: it falls quickly and rises
+   * slowly.
+   *
+   * @param elapsedMs time from sending the request to its first token
+   * @param tokens prompt tokens that the server computed
    */
   public synchronized void observed(double elapsedMs, long tokens) {
     if (tokens < MIN_TOKENS_TO_LEARN) {
@@ -143,12 +173,15 @@
             : Math.min(sample, msPerToken * SLOWER_FACTOR);
   }
 
-  /** Returns the time to compute one prompt token, as learned. */
+  /** Returns the learned time to compute one prompt token, in milliseconds. */
   public synchronized double msPerToken() {
     return msPerToken;
   }
 
-  /** Notes a request that the server answered. */
+  /**
+   * Records a complete answer. Resets the failures; starts a slow start if they had ejected the
+   * server.
+   */
   public synchronized void succeeded(long nowMs) {
     if (failures >= FAILURES_TO_EJECT) {
       warmUntilMs = nowMs + WARM_UP_MS;
@@ -157,24 +190,24 @@
     ejections = 0;
   }
 
-  /** Notes that the server says it is leaving; it gets no new work for a while. */
+  /** Records that the server said that it is leaving; it gets no new requests for a while. */
   public synchronized void leaving(long nowMs) {
     ejectedUntilMs = Math.max(ejectedUntilMs, nowMs + LEAVING_MS);
   }
 
-  /** Notes that the server was too busy or loading; others are preferred for a moment. */
+  /** Records a refusal of a busy or loading server; others are preferred for a moment. */
   public synchronized void refused(long nowMs) {
     refusedUntilMs = nowMs + REFUSED_MS;
   }
 
-  /** Notes a failure; several in a row eject the server for a while, longer each time. */
+  /** Records a failure. Consecutive failures eject the server, each ejection lasting longer. */
   public synchronized void failed(long nowMs) {
     failures++;
     if (failures >= FAILURES_TO_EJECT) {
-      long span = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS << Math.min(ejections, 10));
+      long durationMs = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS << Math.min(ejections, 10));
       ejections++;
-      ejectedUntilMs = nowMs + span;
-      warmUntilMs = nowMs + span + WARM_UP_MS;
+      ejectedUntilMs = nowMs + durationMs;
+      warmUntilMs = nowMs + durationMs + WARM_UP_MS;
     }
   }
 
@@ -192,7 +225,7 @@
     return WARM_UP_SHARE + (1 - WARM_UP_SHARE) * Math.max(0, progress);
   }
 
-  /** Returns the server as a decision sees it now. */
+  /** Returns an immutable snapshot of the server for a routing decision. */
   public synchronized ServerView view(long nowMs) {
     return new ServerView(
         server.name(),
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/ServerTable.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/ServerTable.java
@@ -26,12 +26,12 @@
 import org.landingtrack.internal.catalog.Catalog.NamedBackendServer;
 import org.landingtrack.internal.catalog.Kind;
 
-/** The states of all backend servers, kept in step with the catalog. Thread-safe. */
+/** Holds the {@link ServerState} of each backend server in the catalog. Thread-safe. */
 public final class ServerTable {
   private final Map<String, ServerState> states = new ConcurrentHashMap<>();
   private volatile Set<String> leaving = Set.of();
 
-  /** Sets the servers that are leaving and get no new work. */
+  /** Sets the names of all servers that are leaving; they get no new requests. */
   public void leaving(Set<String> names) {
     leaving = Set.copyOf(names);
   }
@@ -41,16 +41,16 @@
     return leaving.size();
   }
 
-  /** Returns the state of a server, creating it if it is new or was configured anew. */
+  /** Returns the state of a server; creates it if the server or its configuration is new. */
   public ServerState state(NamedBackendServer server) {
     return states.compute(
         server.name(),
-        (name, known) -> {
-          if (known == null) {
+        (name, existing) -> {
+          if (existing == null) {
             return new ServerState(server);
           }
-          boolean same = known.server().spec().equals(server.spec());
-          return same ? known : known.withConfiguration(server);
+          boolean same = existing.server().spec().equals(server.spec());
+          return same ? existing : existing.withConfiguration(server);
         });
   }
 
@@ -59,12 +59,15 @@
     return Optional.ofNullable(states.get(name));
   }
 
-  /** Returns the servers of a service that may get new work, by what the catalog says. */
+  /**
+   * Returns the servers of a service that may get new requests: those that are neither draining nor
+   * leaving nor excluded. Ejected servers are included.
+   */
   public List<ServerState> available(Catalog catalog, String service, Set<String> excluded) {
     List<ServerState> available = new ArrayList<>();
     for (NamedBackendServer server : catalog.servers(service)) {
-      boolean goes = server.spec().draining() || leaving.contains(server.name());
-      if (goes || excluded.contains(server.name())) {
+      boolean isLeaving = server.spec().draining() || leaving.contains(server.name());
+      if (isLeaving || excluded.contains(server.name())) {
         continue;
       }
       available.add(state(server));
@@ -72,10 +75,10 @@
     return available;
   }
 
-  /** Forgets servers that the catalog no longer has. */
+  /** Removes the states of servers that are no longer in the catalog. */
   public void retain(Catalog catalog) {
-    Map<String, ServerState> gone = new HashMap<>(states);
-    gone.keySet().removeAll(catalog.ofKind(Kind.BACKEND_SERVER).keySet());
-    states.keySet().removeAll(gone.keySet());
+    Map<String, ServerState> removed = new HashMap<>(states);
+    removed.keySet().removeAll(catalog.ofKind(Kind.BACKEND_SERVER).keySet());
+    states.keySet().removeAll(removed.keySet());
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/ServerView.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/ServerView.java
@@ -18,17 +18,18 @@
 import org.landingtrack.internal.base.Hashes;
 
 /**
- * A backend server as one decision sees it.
+ * An immutable snapshot of a backend server for one routing decision.
  *
- * @param weightVersion the version that it was last heard to have; empty if unknown
- * @param inFlight requests that this gateway has there now
- * @param pendingTokens prompt tokens that this gateway sent there and that have not brought a first
- *     token yet
+ * @param weightVersion the weight version that it last reported; empty if unknown
+ * @param inFlight requests of this gateway in flight at the server
+ * @param pendingTokens estimated prompt tokens of this gateway's requests that have no first token
+ *     yet
  * @param report the last load report
- * @param sentSinceReportTokens prompt tokens that this gateway sent since then
- * @param msPerToken observed time to compute one prompt token
- * @param nameHash {@link Hashes#placement(String)} of the name, made once for many decisions
- * @param share 1 for a healthy server; less while it is warming up after a failure; 0 if ejected
+ * @param sentSinceReportTokens estimated prompt tokens that this gateway sent since that report
+ * @param msPerToken learned time to compute one prompt token, in milliseconds
+ * @param nameHash {@link Hashes#placement(String)} of the name, computed once for many decisions
+ * @param share capacity share: 1 for a healthy server, less during slow start or after a refusal, 0
+ *     if ejected or leaving
  */
 public record ServerView(
     String name,
@@ -43,7 +44,7 @@
     double share,
     long nameHash) {
 
-  /** Creates a view whose name is hashed now. */
+  /** Creates a snapshot and computes the hash of its name. */
   public ServerView(
       String name,
       String dataCentre,
@@ -69,7 +70,7 @@
         Hashes.placement(name));
   }
 
-  /** Returns true if the server may get new work. */
+  /** Returns true if the server may get new requests. */
   public boolean isUsable() {
     return share > 0;
   }
--- a/landingtrack/src/test/java/org/landingtrack/internal/prefix/PrefixChainTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/prefix/PrefixChainTest.java
@@ -22,6 +22,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Tests which prompts share block keys. */
 public final class PrefixChainTest {
   private static final String PROMPT = "handbook ".repeat(5_000);
 
@@ -37,7 +38,7 @@
     };
   }
 
-  /** Teams, services and weight versions never share a key, not even for the same prompt. */
+  /** Different teams, services or weight versions never share a key, even for the same prompt. */
   @Test(dataProvider = "others")
   public void anotherTeamServiceOrVersionSharesNoKey(String team, String service, String version) {
     PrefixChain own = PrefixChain.of("t", "s", "v1", PROMPT);
--- a/landingtrack/src/test/java/org/landingtrack/internal/routing/CostPolicyTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/routing/CostPolicyTest.java
@@ -28,6 +28,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Tests the selection by cost, the cost estimates, and the health and learned speed of servers. */
 public final class CostPolicyTest {
   private static final PrefixChain CHAIN =
       PrefixChain.of("t", "s", "v", "x".repeat(100 * PrefixChain.BLOCK_BYTES));
@@ -50,23 +51,24 @@
   public Object[][] choices() {
     List<ServerView> idle = List.of(server("a", 0, 1), server("b", 0, 1), server("c", 0, 1));
     Holder onB = new Holder("b", 100, "");
-    Holder kept = new Holder("store", 100, "manifest");
+    Holder stored = new Holder("store", 100, "manifest");
     List<ServerView> busyB =
         List.of(server("a", 0, 1), server("b", 200_000, 1), server("c", 900_000, 1));
-    List<ServerView> sickB = List.of(server("a", 0, 1), server("b", 0, 0), server("c", 900_000, 1));
+    List<ServerView> ejectedB =
+        List.of(server("a", 0, 1), server("b", 0, 0), server("c", 900_000, 1));
     Links slow = new Links(1, Long.MAX_VALUE, 0, 1_000, 1);
     Links empty = new Links(1_000_000, 1_000, 0, 1_000, 1);
     Weights link = new Weights(0.001, 0.0001, 1_000);
     return new Object[][] {
-      // case, servers, holders, weights, links, chosen server (empty: any), restores
+      // case, servers, holders, weights, links, expected server (empty: any), restores
       {"the holder wins", idle, List.of(onB), TTFT, FAST, "b", false},
-      {"a busy holder loses to a restore", busyB, List.of(onB, kept), TTFT, FAST, "a", true},
+      {"a busy holder loses to a restore", busyB, List.of(onB, stored), TTFT, FAST, "a", true},
       {"a busy holder loses to computing", busyB, List.of(onB), TTFT, FAST, "a", false},
-      {"an ejected holder is left out", sickB, List.of(onB), TTFT, FAST, "a", false},
-      {"a restore beats computing", idle, List.of(kept), TTFT, FAST, "", true},
-      {"a slow link loses to computing", idle, List.of(kept), TTFT, slow, "", false},
-      {"no restore beyond the budget", idle, List.of(kept), TTFT, empty, "", false},
-      {"who weighs links recomputes", idle, List.of(kept), link, FAST, "", false},
+      {"an ejected holder is not a candidate", ejectedB, List.of(onB), TTFT, FAST, "a", false},
+      {"a restore beats computing", idle, List.of(stored), TTFT, FAST, "", true},
+      {"a slow link loses to computing", idle, List.of(stored), TTFT, slow, "", false},
+      {"no restore beyond the budget", idle, List.of(stored), TTFT, empty, "", false},
+      {"a high link weight prefers recomputing", idle, List.of(stored), link, FAST, "", false},
     };
   }
 
@@ -90,45 +92,74 @@
   @DataProvider
   public Object[][] pressures() {
     return new Object[][] {
-      // case, tokens queued at the holder, kept at a store VM, pressure, scarcity, holder chosen
-      {"a short queue is worth a copy to nobody", 500, true, 0.0, 0.0, true},
-      {"a long queue is worth a copy", 20_000, true, 0.0, 0.0, false},
-      {"not while others wait", 20_000, true, 10.0, 0.0, true},
-      {"not over a link that is nearly used up", 20_000, true, 0.0, 0.99, true},
-      {"a very long queue is worth computing", 60_000, false, 0.0, 0.0, false},
-      {"computing delays those that wait", 60_000, false, 10.0, 0.0, true},
+      // case, tokens queued at the holder, stored at a store VM, waiting requests per server,
+      // used share of the link budget, holder selected
+      {"a short queue does not justify a copy", 500, true, 0.0, 0.0, true},
+      {"a long queue justifies a copy", 20_000, true, 0.0, 0.0, false},
+      {"a long queue does not justify a copy while requests wait", 20_000, true, 10.0, 0.0, true},
+      {
+        "a long queue does not justify a copy over a nearly used-up link",
+        20_000,
+        true,
+        0.0,
+        0.99,
+        true
+      },
+      {"a very long queue justifies recomputing", 60_000, false, 0.0, 0.0, false},
+      {
+        "a very long queue does not justify recomputing while requests wait",
+        60_000,
+        false,
+        10.0,
+        0.0,
+        true
+      },
     };
   }
 
-  /** Copies cost others: they evict, use the link, and computing takes the engines' time. */
+  /**
+   * The cost of a copy includes what it costs other requests: evicted blocks, use of the link, and
+   * the engine's time to compute.
+   */
   @Test(dataProvider = "pressures")
   public void aCopyPaysForWhatItCostsOthers(
-      String name, int queued, boolean isKept, double pressure, double scarcity, boolean stays) {
+      String name,
+      int queued,
+      boolean isStored,
+      double waitingPerServer,
+      double usedShare,
+      boolean isHolderSelected) {
     List<ServerView> servers =
         List.of(server("a", 0, 1), server("b", 0, 1), server("c", 0, 1), server("d", 0, 1));
-    String home =
+    String preferred =
         policy.decide(query(servers, List.of(), TTFT, FAST)).chosen().orElseThrow().server();
-    String holder = home.equals("a") ? "b" : "a";
-    List<ServerView> busy = new ArrayList<>();
+    String holder = preferred.equals("a") ? "b" : "a";
+    List<ServerView> available = new ArrayList<>();
     for (ServerView server : servers) {
       boolean isHolder = server.name().equals(holder);
-      // The home is ejected: only servers where the prompt does not belong are left.
-      busy.add(server(server.name(), isHolder ? queued : 0, server.name().equals(home) ? 0 : 1));
+      // The prompt's own server by rendezvous hash is ejected, so that no copy is exempt from the
+      // cost of eviction.
+      available.add(
+          server(server.name(), isHolder ? queued : 0, server.name().equals(preferred) ? 0 : 1));
     }
     List<Holder> holders = new ArrayList<>(List.of(new Holder(holder, 100, "")));
-    if (isKept) {
+    if (isStored) {
       holders.add(new Holder("store", 100, "manifest"));
     }
-    Links links = new Links(200_000, Long.MAX_VALUE, scarcity, 1_000, 1);
+    Links links = new Links(200_000, Long.MAX_VALUE, usedShare, 1_000, 1);
     RouteOption chosen =
         policy
-            .decide(new RouteQuery(CHAIN, busy, holders, TTFT, links, pressure, "dc", NOW))
+            .decide(
+                new RouteQuery(CHAIN, available, holders, TTFT, links, waitingPerServer, "dc", NOW))
             .chosen()
             .orElseThrow();
-    assertEquals(chosen.server().equals(holder), stays, name + ": " + chosen.sentence());
+    assertEquals(chosen.server().equals(holder), isHolderSelected, name + ": " + chosen.sentence());
   }
 
-  /** A link that does not work must not make prompts stick to busy engines, or be refused. */
+  /**
+   * A broken link must neither keep prompts on busy engines nor lead to their rejection: evicted
+   * blocks are priced no higher than recomputing them.
+   */
   @Test
   public void aBrokenLinkPricesEvictionNoHigherThanComputing() {
     List<ServerView> servers = List.of(server("a", 1_000_000, 1), server("b", 0, 1));
@@ -144,7 +175,10 @@
     assertTrue(chosen.othersMs() <= chosen.prefillMs(), chosen.sentence());
   }
 
-  /** Other gateways' requests ahead make answers late; they do not make the server slow. */
+  /**
+   * Requests of other gateways that are ahead in the queue delay answers; the learned speed must
+   * not follow them.
+   */
   @Test
   public void speedFollowsTheQuickestAnswers() {
     ServerState state =
@@ -154,8 +188,8 @@
                 new org.landingtrack.internal.catalog.BackendServer(
                     "s", "1.1.1.1:1", "dc", 8, true, false)));
     for (int i = 0; i < 100; i++) {
-      boolean behindOthers = i % 4 != 0;
-      state.observed(behindOthers ? 1_000 : 100, 2_000);
+      boolean isDelayed = i % 4 != 0;
+      state.observed(isDelayed ? 1_000 : 100, 2_000);
     }
     assertTrue(state.msPerToken() < 0.1, "ms a token: " + state.msPerToken());
     for (int i = 0; i < 100; i++) {
@@ -183,8 +217,8 @@
     LoadReport old = new LoadReport(0, 0, NOW - 60_000);
     ServerView stale = new ServerView("a", "dc", 8, "v", 1, 5_000, old, 0, 0.05, 1);
     assertEquals(CostModel.queueMs(stale, NOW), 5_000 * 0.05, 1e-9);
-    ServerView quiet = new ServerView("a", "dc", 8, "v", 0, 0, old, 0, 0.05, 1);
-    assertTrue(CostModel.queueMs(quiet, NOW) > 0);
+    ServerView unused = new ServerView("a", "dc", 8, "v", 0, 0, old, 0, 0.05, 1);
+    assertTrue(CostModel.queueMs(unused, NOW) > 0);
   }
 
   @Test
@@ -217,7 +251,7 @@
     assertTrue(state.view(1_001).isUsable());
     assertTrue(state.view(1_001).share() < 0.5, "no slow start");
     state.succeeded(2_000);
-    assertTrue(state.view(2_100).share() < 0.5, "slow start ended by one answer");
+    assertTrue(state.view(2_100).share() < 0.5, "slow start ended after one answer");
     assertEquals(state.view(12_001).share(), 1.0);
   }
 }
