--- a/landingtrack/src/main/java/org/landingtrack/internal/directory/CacheFeed.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/directory/CacheFeed.java
@@ -18,29 +18,45 @@
 import java.util.List;
 
 /**
- * What a backend server tells about its blocks: an engine about its cache, a store VM about its
- * manifests. Events come late and with gaps.
+ * Reads the block events of backend servers: an engine reports changes of its prefix cache, a store
+ * VM changes of its manifests. Events may be late and may be missing.
  */
 public interface CacheFeed {
-  /** One event. */
+  /**
+   * A change of one block.
+   *
+   * @param group key of the first block of the prompt
+   * @param key key of the block
+   * @param kept id of the manifest with the block; empty for an engine
+   * @param held true if the server holds the block, false if it no longer does
+   */
   record Event(String group, String key, String kept, boolean held) {}
 
   /**
-   * Some events.
+   * A batch of events.
    *
-   * @param sequence the last event's number
-   * @param gap true if events after the asked one are missing; a listing must follow
-   * @param weightVersion the version that an engine has; empty for a store VM
+   * @param sequence sequence number of the last event
+   * @param gap true if events after the requested number are missing, so that a listing is needed
+   * @param weightVersion version of the weights that an engine runs; empty for a store VM
    */
   record Events(long sequence, boolean gap, List<Event> events, String weightVersion) {}
 
-  /** Returns events after a number, waiting for some. Throws if the server does not answer. */
-  Events events(String address, long after, long waitMs) throws CacheFeedException;
+  /**
+   * Returns the events after a sequence number. Waits up to {@code waitMs} for one if there are
+   * none.
+   *
+   * @throws CacheFeedException if the server does not answer or answers with an error
+   */
+  Events events(String address, long afterSequence, long waitMs) throws CacheFeedException;
 
-  /** Lists everything that the server holds. */
+  /**
+   * Lists all blocks that the server holds.
+   *
+   * @throws CacheFeedException if the server does not answer or answers with an error
+   */
   Events listing(String address) throws CacheFeedException;
 
-  /** The server does not answer. */
+  /** Thrown when a server does not answer or answers with an error. */
   final class CacheFeedException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/directory/FactRouter.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/directory/FactRouter.java
@@ -32,7 +32,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends each fact to its group's owner and one successor. Thread-safe. */
+/**
+ * Sends each fact to the owner of its group and to one further controller, the next by rendezvous
+ * hashing, so that the directory survives the loss of one controller. Thread-safe.
+ */
 public final class FactRouter implements FactSink {
   private static final Logger log = LoggerFactory.getLogger("directory");
   private static final int COPIES = 2;
@@ -47,31 +50,33 @@
   /**
    * Creates a router.
    *
-   * @param members the usable controllers of the data centre, this one included
-   * @param local takes the facts that this controller owns itself
+   * @param self name of this controller's VM
+   * @param members returns the usable controllers of the data centre, including this one
+   * @param directory directory of this controller
+   * @param localHandler receives the facts of groups that this controller owns
    */
   public FactRouter(
       String self,
       Supplier<List<Member>> members,
       PeerClient peers,
-      PrefixDirectory own,
-      Consumer<List<Fact>> local) {
+      PrefixDirectory directory,
+      Consumer<List<Fact>> localHandler) {
     this.self = self;
     this.members = members;
     this.peers = peers;
-    this.own = own;
-    this.local = local;
+    this.own = directory;
+    this.local = localHandler;
   }
 
   @Override
   public void facts(List<Fact> facts) {
-    List<Member> live = members.get();
+    List<Member> controllers = members.get();
     Map<String, List<Member>> ownersOfGroup = new HashMap<>();
     Map<Member, List<Fact>> batches = new HashMap<>();
     for (Fact fact : facts) {
       List<Member> owners =
           ownersOfGroup.computeIfAbsent(
-              fact.group(), group -> Hashes.rendezvous(group, live, Member::vm));
+              fact.group(), group -> Hashes.rendezvous(group, controllers, Member::vm));
       for (int i = 0; i < Math.min(COPIES, owners.size()); i++) {
         batches.computeIfAbsent(owners.get(i), owner -> new ArrayList<>()).add(fact);
       }
@@ -87,8 +92,8 @@
     try {
       var unused = peers.call(owner.address(), new FactsUpdate(batch), Taken.class, CALL_MS);
     } catch (PeerException e) {
-      // Facts are hints; the owner's successor has them too.
-      log.debug("Facts did not reach {}: {}.", owner.vm(), e.getMessage());
+      // Facts are hints, and the second owner of the group receives them too.
+      log.debug("Could not send facts to controller {}: {}.", owner.vm(), e.getMessage());
     }
   }
 
@@ -102,7 +107,10 @@
       try {
         var unused = peers.call(member.address(), new FactsReset(server), Taken.class, CALL_MS);
       } catch (PeerException e) {
-        log.debug("A reset did not reach {}: {}.", member.vm(), e.getMessage());
+        log.debug(
+            "Could not send the reset of a server to controller {}: {}.",
+            member.vm(),
+            e.getMessage());
       }
     }
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/directory/FactSink.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/directory/FactSink.java
@@ -18,11 +18,14 @@
 import java.util.List;
 import org.landingtrack.internal.peer.Messages.Fact;
 
-/** Takes facts to the controllers that own their groups. */
+/**
+ * Receives facts, that is, which backend server holds which block, for the controllers that own the
+ * groups of the blocks.
+ */
 public interface FactSink {
-  /** Hands facts on. */
+  /** Passes facts on to the owners of their groups. */
   void facts(List<Fact> facts);
 
-  /** Says that everything known about a server is void. */
+  /** Invalidates all facts about a server; its current facts follow. */
   void reset(String server);
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/directory/FeedFollower.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/directory/FeedFollower.java
@@ -38,8 +38,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the feeds of the backend servers that this controller owns by rendezvous, and hands their
- * facts on. After a gap, or when a server changes its owner, it is listed anew. Thread-safe.
+ * Follows the {@link CacheFeed} of each backend server that this controller owns by rendezvous
+ * hashing, and passes the facts to a {@link FactSink}. Uses one thread per server.
+ *
+ * <p>After a gap in the events, after a failed call, and when a server gets another owner, all
+ * blocks of the server are listed again. Thread-safe.
  */
 public final class FeedFollower implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("directory");
@@ -72,24 +75,24 @@
     this.sink = sink;
   }
 
-  /** Starts following. */
+  /** Starts the assignment of servers, which is repeated periodically. */
   public void start() {
     assigner.every(REASSIGN_MS, this::reassign);
   }
 
   private void reassign() {
     Map<String, NamedBackendServer> owned = owned();
-    Set<String> gone = new HashSet<>(follows.keySet());
-    gone.removeAll(owned.keySet());
-    for (String name : gone) {
-      Follow follow = follows.remove(name);
-      if (follow != null) {
-        follow.stop();
+    Set<String> released = new HashSet<>(follows.keySet());
+    released.removeAll(owned.keySet());
+    for (String name : released) {
+      Follow removed = follows.remove(name);
+      if (removed != null) {
+        removed.stop();
       }
     }
     for (NamedBackendServer server : owned.values()) {
       if (follows.size() >= MAX_FOLLOWED) {
-        log.warn("More than {} servers are to be followed; some are left out.", MAX_FOLLOWED);
+        log.warn("More than {} servers to follow; ignoring the rest.", MAX_FOLLOWED);
         break;
       }
       follows.computeIfAbsent(server.name(), name -> new Follow(server).started());
@@ -98,15 +101,15 @@
 
   private Map<String, NamedBackendServer> owned() {
     Map<String, NamedBackendServer> owned = new HashMap<>();
-    List<Member> live = members.get();
-    Catalog now = catalog.get();
-    for (Map.Entry<String, Spec> entry : now.ofKind(Kind.SERVICE).entrySet()) {
+    List<Member> controllers = members.get();
+    Catalog current = catalog.get();
+    for (Map.Entry<String, Spec> entry : current.ofKind(Kind.SERVICE).entrySet()) {
       if (((Service) entry.getValue()).type().equals("plain")) {
         continue;
       }
-      for (NamedBackendServer server : now.servers(entry.getKey())) {
-        boolean here = server.spec().dataCentre().equals(dataCentre);
-        if (here && ownerOf(server.name(), live).equals(self)) {
+      for (NamedBackendServer server : current.servers(entry.getKey())) {
+        boolean local = server.spec().dataCentre().equals(dataCentre);
+        if (local && ownerOf(server.name(), controllers).equals(self)) {
           owned.put(server.name(), server);
         }
       }
@@ -114,12 +117,12 @@
     return owned;
   }
 
-  private static String ownerOf(String server, List<Member> live) {
-    List<Member> owners = Hashes.rendezvous("feed/" + server, live, Member::vm);
+  private static String ownerOf(String server, List<Member> controllers) {
+    List<Member> owners = Hashes.rendezvous("feed/" + server, controllers, Member::vm);
     return owners.isEmpty() ? "" : owners.get(0).vm();
   }
 
-  /** Returns how many servers are followed. */
+  /** Returns the number of servers that are followed. */
   public int followed() {
     return follows.size();
   }
@@ -130,6 +133,7 @@
     follows.values().forEach(Follow::stop);
   }
 
+  /** Reads the feed of one server on a thread of its own. */
   private final class Follow {
     private final NamedBackendServer server;
     private final Thread thread;
@@ -152,17 +156,18 @@
     }
 
     private void run() {
-      boolean answered = true;
+      boolean reachable = true;
       while (!stopped) {
         try {
           followOnce();
-          answered = true;
+          reachable = true;
         } catch (CacheFeedException e) {
-          if (answered) {
-            log.info("Server {} gives no events: {}.", server.name(), e.getMessage());
+          if (reachable) {
+            log.info(
+                "Cannot read the cache events of server {}: {}.", server.name(), e.getMessage());
             sink.reset(server.name());
           }
-          answered = false;
+          reachable = false;
           after = -1;
           pause();
         }
@@ -180,10 +185,10 @@
     private void followOnce() throws CacheFeedException {
       String address = server.spec().address();
       if (after < 0) {
-        Events all = feed.listing(address);
+        Events listing = feed.listing(address);
         sink.reset(server.name());
-        sink.facts(facts(all));
-        after = all.sequence();
+        sink.facts(facts(listing));
+        after = listing.sequence();
         return;
       }
       Events events = feed.events(address, after, WAIT_MS);
--- a/landingtrack/src/main/java/org/landingtrack/internal/directory/HttpCacheFeed.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/directory/HttpCacheFeed.java
@@ -25,16 +25,16 @@
 import okhttp3.Response;
 import org.landingtrack.internal.base.Json;
 
-/** {@link CacheFeed} over HTTP. Thread-safe. */
+/** {@link CacheFeed} over HTTP, with long polling for events. Thread-safe. */
 public final class HttpCacheFeed implements CacheFeed {
   private static final long SLACK_MS = 2_000;
 
   private final OkHttpClient client = new OkHttpClient();
 
   @Override
-  public Events events(String address, long after, long waitMs) throws CacheFeedException {
+  public Events events(String address, long afterSequence, long waitMs) throws CacheFeedException {
     return get(
-        "http://" + address + "/v1/cache/events?after=" + after + "&waitMs=" + waitMs,
+        "http://" + address + "/v1/cache/events?after=" + afterSequence + "&waitMs=" + waitMs,
         waitMs + SLACK_MS);
   }
 
@@ -44,25 +44,26 @@
   }
 
   private Events get(String url, long timeoutMs) throws CacheFeedException {
-    OkHttpClient timed =
+    OkHttpClient clientWithTimeout =
         client
             .newBuilder()
             .callTimeout(timeoutMs, TimeUnit.MILLISECONDS)
             .readTimeout(timeoutMs, TimeUnit.MILLISECONDS)
             .build();
-    try (Response response = timed.newCall(new Request.Builder().url(url).build()).execute()) {
+    try (Response response =
+        clientWithTimeout.newCall(new Request.Builder().url(url).build()).execute()) {
       if (!response.isSuccessful()) {
-        throw new CacheFeedException("answered " + response.code());
+        throw new CacheFeedException("answered with HTTP status " + response.code());
       }
       JsonNode body = Json.LENIENT.readTree(response.body().string());
       List<Event> events = new ArrayList<>();
-      for (JsonNode node : body.path("events")) {
+      for (JsonNode item : body.path("events")) {
         events.add(
             new Event(
-                node.path("group").asText(),
-                node.path("key").asText(),
-                node.path("kept").asText(),
-                node.path("held").asBoolean()));
+                item.path("group").asText(),
+                item.path("key").asText(),
+                item.path("kept").asText(),
+                item.path("held").asBoolean()));
       }
       return new Events(
           body.path("sequence").asLong(),
--- a/landingtrack/src/main/java/org/landingtrack/internal/directory/PrefixDirectory.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/directory/PrefixDirectory.java
@@ -28,73 +28,86 @@
 import org.landingtrack.internal.peer.Messages.Holder;
 
 /**
- * Which backend servers hold which blocks, for the prompts whose group this controller owns.
+ * Directory of the backend servers that hold the blocks of prompts, for the groups that this
+ * controller owns. A group is the set of all prompts with the same first block.
  *
- * <p>All of it is a hint: a wrong entry costs time, never correctness, and what is lost comes back
- * from the engines' and store VMs' own listings. Bounded by groups and by blocks in a group.
- * Thread-safe.
+ * <p>All entries are hints: a wrong entry costs time but never correctness, and lost entries are
+ * restored from the listings of the engines and store VMs. The number of groups and of blocks per
+ * group is bounded. Thread-safe.
  */
 public final class PrefixDirectory {
   private static final int MAX_BLOCKS_PER_GROUP = 4_096;
 
   private final Cache<String, Group> groups;
 
-  /** Creates a directory for so many groups; the least recently used ones are forgotten. */
+  /** Creates a directory for up to {@code maxGroups} groups; evicts rarely used groups. */
   public PrefixDirectory(int maxGroups) {
     this.groups = Caffeine.newBuilder().maximumSize(maxGroups).build();
   }
 
-  /** Where a copy is: the server, and the manifest if it is kept in a store VM. */
+  /**
+   * The location of a copy of a block.
+   *
+   * @param kept id of the manifest if the server is a store VM; empty for an engine
+   */
   private record Place(String server, String kept) {}
 
+  /** The block locations of one group. Thread-safe. */
   private static final class Group {
     private final Map<String, Set<Place>> placesByKey = new HashMap<>();
 
     synchronized void apply(Fact fact) {
-      Place place = new Place(fact.server(), fact.kept());
+      Place location = new Place(fact.server(), fact.kept());
       if (fact.held()) {
         if (placesByKey.size() < MAX_BLOCKS_PER_GROUP || placesByKey.containsKey(fact.key())) {
-          placesByKey.computeIfAbsent(fact.key(), key -> new HashSet<>(2)).add(place);
+          placesByKey.computeIfAbsent(fact.key(), key -> new HashSet<>(2)).add(location);
         }
         return;
       }
-      Set<Place> places = placesByKey.get(fact.key());
-      if (places != null && places.remove(place) && places.isEmpty()) {
+      Set<Place> locations = placesByKey.get(fact.key());
+      if (locations != null && locations.remove(location) && locations.isEmpty()) {
         placesByKey.remove(fact.key());
       }
     }
 
-    /** A place counts as far as it holds every block from the first on. */
+    /**
+     * Returns the holders of a prefix of the chain, deepest first. The depth of a holder is the
+     * number of blocks it holds without a gap, counted from the first block.
+     */
     synchronized List<Holder> holders(List<String> chain) {
       Map<Place, Integer> depths = new HashMap<>();
       for (int i = 0; i < chain.size(); i++) {
         int depth = i;
-        boolean any = false;
-        for (Place place : placesByKey.getOrDefault(chain.get(i), Set.of())) {
-          if (depths.getOrDefault(place, 0) == depth) {
-            depths.put(place, depth + 1);
-            any = true;
+        boolean found = false;
+        for (Place location : placesByKey.getOrDefault(chain.get(i), Set.of())) {
+          if (depths.getOrDefault(location, 0) == depth) {
+            depths.put(location, depth + 1);
+            found = true;
           }
         }
-        if (!any) {
+        if (!found) {
           break;
         }
       }
       List<Holder> holders = new ArrayList<>(depths.size());
-      depths.forEach((place, depth) -> holders.add(new Holder(place.server, depth, place.kept)));
+      depths.forEach(
+          (location, depth) -> holders.add(new Holder(location.server, depth, location.kept)));
       holders.sort(Comparator.comparingInt(Holder::depth).reversed().thenComparing(Holder::server));
       return holders;
     }
 
     synchronized void dropServer(String server) {
-      for (Set<Place> places : placesByKey.values()) {
-        places.removeIf(place -> place.server.equals(server));
+      for (Set<Place> locations : placesByKey.values()) {
+        locations.removeIf(location -> location.server.equals(server));
       }
       placesByKey.values().removeIf(Set::isEmpty);
     }
   }
 
-  /** Takes in facts. */
+  /**
+   * Applies facts in order. Repeated facts have no effect, and neither has the removal of a block
+   * that is not known.
+   */
   public void apply(List<Fact> facts) {
     for (Fact fact : facts) {
       Group group = groups.get(fact.group(), key -> new Group());
@@ -102,7 +115,10 @@
     }
   }
 
-  /** Returns who holds the longest part of a chain, deepest first, {@code limit} at most. */
+  /**
+   * Returns the servers that hold the longest prefixes of a chain of block keys, deepest first, at
+   * most {@code limit}.
+   */
   public List<Holder> holders(String groupKey, List<String> chain, int limit) {
     Group group = groups.getIfPresent(groupKey);
     if (group == null) {
@@ -112,14 +128,14 @@
     return holders.size() <= limit ? holders : List.copyOf(holders.subList(0, limit));
   }
 
-  /** Forgets everything about a server, before it is listed anew or when it is gone. */
+  /** Removes all entries of a server, before it is listed again or after it has disappeared. */
   public void dropServer(String server) {
     for (Group group : groups.asMap().values()) {
       group.dropServer(server);
     }
   }
 
-  /** Returns the number of groups, by estimate. */
+  /** Returns the estimated number of groups. */
   public long size() {
     return groups.estimatedSize();
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/directory/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/directory/package-info.java
@@ -1,3 +1,6 @@
-/** Which backend servers hold which prefixes; a hint that can be rebuilt. */
+/**
+ * Directory of the backend servers that hold the blocks of prompt prefixes. Its entries are hints
+ * and can be rebuilt from the servers.
+ */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.directory;
--- a/landingtrack/src/main/java/org/landingtrack/internal/kept/ExportPolicy.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/kept/ExportPolicy.java
@@ -19,8 +19,10 @@
 import org.landingtrack.internal.prefix.PrefixChain;
 
 /**
- * Decides whether a prompt's state is worth exporting: the work that its expected return saves
- * against the bytes that go over the link twice. Does no I/O.
+ * Decides whether the KV cache blocks of a prompt prefix are exported from an engine to a store VM.
+ *
+ * <p>Compares the prefill work that the expected reuse of the prefix saves with the bytes that
+ * cross the link twice, once for the export and once for the restore. Stateless; does no I/O.
  */
 public final class ExportPolicy {
   private static final double ASSUMED_MS_PER_TOKEN = 0.05;
@@ -28,45 +30,59 @@
 
   private ExportPolicy() {}
 
-  /** How often groups of a service came back: the prior for one that was seen once. */
+  /**
+   * Counts how many groups of a service were requested again. This is the prior for a group that
+   * was requested only once.
+   *
+   * @param firsts groups that were requested at least once
+   * @param returns groups that were requested at least twice
+   */
   public record ReturnRate(long firsts, long returns) {
-    /** Returns the smoothed probability of a return. */
+    /** Returns the probability that a group is requested again, with add-one smoothing. */
     public double probability() {
       return (1.0 + returns) / (2.0 + firsts);
     }
   }
 
   /**
-   * A verdict.
+   * The decision on one group.
    *
-   * @param blocks blocks to export from the first on; 0 for none
-   * @param reason why, in a sentence
+   * @param blocks number of leading blocks to export; 0 for none
+   * @param reason the reason, as a sentence
    */
   public record Verdict(int blocks, String reason) {}
 
-  /** Decides on a group of which {@code keptBlocks} are in a store VM already. */
+  /**
+   * Decides whether to export the blocks of a group.
+   *
+   * <p>For a group that was requested again, only the blocks that its last two prompts share are
+   * considered; for a new group, the whole prompt, weighted by the reuse rate of the service.
+   *
+   * @param storedBlocks leading blocks that a store VM already holds
+   * @param kvBytesPerToken size of the KV cache of one token, in bytes
+   */
   public static Verdict decide(
       PrefixHistory history,
       ReturnRate rate,
       Service service,
-      int keptBlocks,
+      int storedBlocks,
       int kvBytesPerToken) {
-    boolean returned = history.visits() > 1;
-    int wanted = returned ? history.returningBlocks() : history.lastChain().size();
-    int blocks = wanted - keptBlocks;
+    boolean requestedAgain = history.visits() > 1;
+    int wanted = requestedAgain ? history.returningBlocks() : history.lastChain().size();
+    int blocks = wanted - storedBlocks;
     if (blocks < MIN_BLOCKS) {
-      return new Verdict(0, "The part that returns is kept already or too short.");
+      return new Verdict(0, "The reusable prefix is already stored or too short.");
     }
-    double probability = returned ? 1 : Math.min(1, rate.probability());
+    double probability = requestedAgain ? 1 : Math.min(1, rate.probability());
     double tokens = (double) blocks * PrefixChain.BLOCK_TOKENS;
-    double saved =
+    double savings =
         probability
             * tokens
             * (service.weightTtft() * ASSUMED_MS_PER_TOKEN + service.weightRecompute());
-    double moved = 2 * tokens * kvBytesPerToken / 1e6 * service.weightLink();
-    if (saved <= moved) {
-      return new Verdict(0, "Moving it costs more than its expected return saves.");
+    double transferCost = 2 * tokens * kvBytesPerToken / 1e6 * service.weightLink();
+    if (savings <= transferCost) {
+      return new Verdict(0, "The transfer costs more than the expected reuse saves.");
     }
-    return new Verdict(wanted, "Its expected return saves more than moving it costs.");
+    return new Verdict(wanted, "The expected reuse saves more than the transfer costs.");
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/kept/HttpKeptStateClient.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/kept/HttpKeptStateClient.java
@@ -30,7 +30,10 @@
 import okhttp3.Response;
 import org.landingtrack.internal.base.Json;
 
-/** {@link KeptStateClient} over HTTP. */
+/**
+ * {@link KeptStateClient} over HTTP with JSON bodies. A failed call or a status other than 2xx
+ * yields an empty result. Thread-safe.
+ */
 public final class HttpKeptStateClient implements KeptStateClient {
   private static final MediaType JSON_TYPE = MediaType.get("application/json");
   private static final long CALL_MS = 2_000;
@@ -49,13 +52,13 @@
             .build();
     return call(request, timeoutMs)
         .map(
-            answer -> {
+            json -> {
               List<WrittenBlock> blocks = new ArrayList<>();
-              for (JsonNode node : answer.path("blocks")) {
+              for (JsonNode item : json.path("blocks")) {
                 blocks.add(
-                    new WrittenBlock(node.path("key").asText(), node.path("checksum").asText()));
+                    new WrittenBlock(item.path("key").asText(), item.path("checksum").asText()));
               }
-              return new Exported(blocks, answer.path("bytes").asLong());
+              return new Exported(blocks, json.path("bytes").asLong());
             });
   }
 
@@ -91,14 +94,14 @@
     List<KeptManifest> manifests = new ArrayList<>();
     call(request, CALL_MS)
         .ifPresent(
-            answer -> {
-              for (JsonNode node : answer.path("manifests")) {
+            json -> {
+              for (JsonNode item : json.path("manifests")) {
                 manifests.add(
                     new KeptManifest(
-                        node.path("id").asText(),
-                        node.path("group").asText(),
-                        node.path("bytes").asLong(),
-                        node.path("last_read_ms").asLong()));
+                        item.path("id").asText(),
+                        item.path("group").asText(),
+                        item.path("bytes").asLong(),
+                        item.path("last_read_ms").asLong()));
               }
             });
     return manifests;
@@ -109,19 +112,18 @@
     Request request = new Request.Builder().url("http://" + store + "/v1/fill").build();
     return call(request, CALL_MS)
         .map(
-            answer ->
-                new Fill(
-                    answer.path("used_bytes").asLong(), answer.path("capacity_bytes").asLong()));
+            json ->
+                new Fill(json.path("used_bytes").asLong(), json.path("capacity_bytes").asLong()));
   }
 
   private Optional<JsonNode> call(Request request, long timeoutMs) {
-    OkHttpClient timed =
+    OkHttpClient clientWithTimeout =
         client
             .newBuilder()
             .callTimeout(timeoutMs, TimeUnit.MILLISECONDS)
             .readTimeout(timeoutMs, TimeUnit.MILLISECONDS)
             .build();
-    try (Response response = timed.newCall(request).execute()) {
+    try (Response response = clientWithTimeout.newCall(request).execute()) {
       if (!response.isSuccessful()) {
         return Optional.empty();
       }
--- a/landingtrack/src/main/java/org/landingtrack/internal/kept/KeptStateClient.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/kept/KeptStateClient.java
@@ -18,39 +18,66 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Calls that move kept state. Implementations are thread-safe. */
+/**
+ * Exports KV cache blocks from engines to store VMs and manages the manifests there.
+ * Implementations are thread-safe.
+ *
+ * <p>Engines and store VMs are named by address, {@code host:port}.
+ */
 public interface KeptStateClient {
-  /** A block that an engine wrote to a store VM. */
+  /**
+   * A block that an engine wrote to a store VM.
+   *
+   * @param key key of the block, a hash of the prompt up to its end
+   * @param checksum checksum of the written bytes
+   */
   record WrittenBlock(String key, String checksum) {}
 
-  /** What an engine wrote. */
+  /** The result of an export: the blocks that the engine wrote and their total size in bytes. */
   record Exported(List<WrittenBlock> blocks, long bytes) {}
 
   /**
-   * What makes some blocks readable. Published only after each of them is whole in the store VM.
+   * A list of blocks that makes them readable. It is published only after the store VM holds each
+   * of them completely.
    *
-   * @param id names the manifest; new for every export
+   * @param id identifies the manifest; new for every export
+   * @param group key of the prompt's first block
    */
   record Manifest(String id, String group, List<WrittenBlock> blocks) {}
 
-  /** One manifest that a store VM holds. */
+  /**
+   * A manifest that a store VM holds.
+   *
+   * @param bytes size of its blocks
+   * @param lastReadMs time of the last read as the store VM reports it, in milliseconds
+   */
   record KeptManifest(String id, String group, long bytes, long lastReadMs) {}
 
-  /** Fill of a store VM. */
+  /** Used and total capacity of a store VM. */
   record Fill(long usedBytes, long capacityBytes) {}
 
-  /** Makes an engine write blocks to a store VM. */
+  /**
+   * Makes an engine write blocks to a store VM.
+   *
+   * @return the blocks that were written; empty if the call fails or exceeds {@code timeoutMs}
+   */
   Optional<Exported> export(String engine, String store, List<String> keys, long timeoutMs);
 
-  /** Publishes a manifest; true if the store VM confirmed it. */
+  /** Publishes a manifest. Returns true if the store VM confirmed it. */
   boolean publish(String store, Manifest manifest);
 
-  /** Withdraws a manifest and only then frees its blocks. */
+  /**
+   * Withdraws a manifest; the store VM frees its blocks only after that. Returns true if the store
+   * VM confirmed it.
+   */
   boolean withdraw(String store, String manifestId);
 
-  /** Lists the manifests, the least recently read first. */
+  /**
+   * Lists the manifests of a store VM, the least recently read first. Returns an empty list if the
+   * call fails.
+   */
   List<KeptManifest> manifests(String store);
 
-  /** Asks how full a store VM is; empty if it does not answer. */
+  /** Returns the usage of a store VM; empty if the call fails. */
   Optional<Fill> fill(String store);
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/kept/KeptStateKeeper.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/kept/KeptStateKeeper.java
@@ -46,11 +46,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Exports kept state for the groups that this controller owns, and makes room in full store VMs.
+ * Exports KV cache blocks of the groups that this controller owns from engines to store VMs, and
+ * evicts the least recently read manifests from store VMs that are nearly full.
  *
- * <p>Blocks are immutable and named by their content, so two exports of the same ones do no harm; a
- * manifest is published after its blocks are whole and withdrawn before they are freed. No lease is
- * needed. Thread-safe.
+ * <p>No lease is needed: blocks are immutable and named by their content, so exporting the same
+ * blocks twice is harmless, and a manifest is published after its blocks are complete and withdrawn
+ * before they are freed. Thread-safe; exports run on one background thread.
  */
 public final class KeptStateKeeper implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("kept");
@@ -82,22 +83,27 @@
     this.ticker = ticker;
   }
 
-  /** Notes that a prompt of a group was asked for. */
+  /**
+   * Records a request for a prompt of a group.
+   *
+   * @param group key of the prompt's first block
+   * @param chain keys of all blocks of the prompt, in order
+   */
   public void visited(String service, String group, List<String> chain) {
     long now = ticker.millis();
     histories
         .asMap()
         .compute(
             group,
-            (key, known) -> {
-              if (known == null) {
+            (key, history) -> {
+              if (history == null) {
                 count(service, true);
                 return PrefixHistory.first(service, chain, now);
               }
-              if (known.visits() == 1) {
+              if (history.visits() == 1) {
                 count(service, false);
               }
-              return known.visited(chain, now);
+              return history.visited(chain, now);
             });
   }
 
@@ -108,16 +114,20 @@
         (a, b) -> new ReturnRate(a.firsts() + b.firsts(), a.returns() + b.returns()));
   }
 
-  /** Considers the groups of new facts for export. */
+  /**
+   * Schedules an export decision for each group for which an engine reports new blocks. Drops the
+   * group if the queue is full.
+   */
   public void learned(List<Fact> facts) {
-    String last = "";
+    String previousGroup = "";
     for (Fact fact : facts) {
       boolean fromEngine = fact.kept().isEmpty() && fact.held();
-      if (fromEngine && !fact.group().equals(last)) {
-        last = fact.group();
-        String group = last;
+      if (fromEngine && !fact.group().equals(previousGroup)) {
+        previousGroup = fact.group();
+        String group = previousGroup;
         if (!exporter.offer(() -> consider(group))) {
-          log.debug("The export ring is full; group {} waits for its next visit.", group);
+          log.debug(
+              "Export queue is full; skipping group {} until new facts about it arrive.", group);
         }
       }
     }
@@ -126,8 +136,8 @@
   private void consider(String group) {
     PrefixHistory history = histories.getIfPresent(group);
     long now = ticker.millis();
-    Long tried = triedMs.getIfPresent(group);
-    if (history == null || (tried != null && now - tried < RETRY_AFTER_MS)) {
+    Long lastAttempt = triedMs.getIfPresent(group);
+    if (history == null || (lastAttempt != null && now - lastAttempt < RETRY_AFTER_MS)) {
       return;
     }
     Catalog current = catalog.get();
@@ -137,21 +147,21 @@
     }
     List<Holder> holders = directory.holders(group, history.lastChain(), HOLDERS);
     ReturnRate rate = rates.getOrDefault(history.service(), new ReturnRate(0, 0));
-    int kvBytes = kvBytesPerToken(current, service);
-    ExportPolicy.Verdict verdict =
-        ExportPolicy.decide(history, rate, service, keptDepth(holders), kvBytes);
-    if (verdict.blocks() == 0) {
+    int bytesPerToken = kvBytesPerToken(current, service);
+    ExportPolicy.Verdict decision =
+        ExportPolicy.decide(history, rate, service, keptDepth(holders), bytesPerToken);
+    if (decision.blocks() == 0) {
       return;
     }
     Optional<Holder> source =
         holders.stream()
-            .filter(h -> h.kept().isEmpty() && h.depth() >= verdict.blocks())
+            .filter(h -> h.kept().isEmpty() && h.depth() >= decision.blocks())
             .findFirst();
     if (source.isEmpty()) {
       return;
     }
     triedMs.put(group, now);
-    export(current, service, history, group, source.get(), verdict.blocks(), kvBytes);
+    export(current, service, history, group, source.get(), decision.blocks(), bytesPerToken);
   }
 
   private static int keptDepth(List<Holder> holders) {
@@ -183,34 +193,41 @@
       String group,
       Holder source,
       int blocks,
-      int kvBytes) {
+      int bytesPerToken) {
     Optional<NamedBackendServer> store = storeFor(current, service, group);
     Optional<BackendServer> engine =
         current.find(Kind.BACKEND_SERVER, source.server(), BackendServer.class);
     if (store.isEmpty() || engine.isEmpty()) {
       return;
     }
-    long bytes = (long) blocks * kvBytes * PrefixChain.BLOCK_TOKENS;
+    long bytes = (long) blocks * bytesPerToken * PrefixChain.BLOCK_TOKENS;
     LinkBudget budget = links.computeIfAbsent(history.service(), s -> new LinkBudget(ticker));
     if (!budget.tryTake(bytes, service.linkBytesPerSecond() / 2.0)) {
-      log.debug("No export of group {}: the link's budget is used up.", group);
+      log.debug("Not exporting group {}: the link's budget is used up.", group);
       return;
     }
     String address = store.get().spec().address();
     makeRoom(address);
     List<String> keys = history.lastChain().subList(0, blocks);
-    Optional<Exported> written = client.export(engine.get().address(), address, keys, EXPORT_MS);
-    if (written.isEmpty() || written.get().blocks().size() < blocks) {
-      log.info("An export from {} to {} did not come about.", source.server(), store.get().name());
+    Optional<Exported> result = client.export(engine.get().address(), address, keys, EXPORT_MS);
+    if (result.isEmpty() || result.get().blocks().size() < blocks) {
+      log.info(
+          "Export from {} to store VM {} failed or is incomplete.",
+          source.server(),
+          store.get().name());
       return;
     }
-    Manifest manifest = new Manifest(UUID.randomUUID().toString(), group, written.get().blocks());
+    Manifest manifest = new Manifest(UUID.randomUUID().toString(), group, result.get().blocks());
     if (client.publish(address, manifest)) {
-      log.debug("Exported {} blocks of group {} to {}.", blocks, group, store.get().name());
+      log.debug(
+          "Exported {} blocks of group {} to store VM {}.", blocks, group, store.get().name());
     }
   }
 
-  /** A group always goes to the same store VM, so that its blocks are shared there. */
+  /**
+   * Returns the store VM for a group, by rendezvous hashing. All exports of a group go to the same
+   * store VM, so that they share blocks there.
+   */
   private static Optional<NamedBackendServer> storeFor(
       Catalog current, Service service, String group) {
     String name = service.store();
@@ -223,22 +240,25 @@
   }
 
   private void makeRoom(String store) {
-    Optional<Fill> fill = client.fill(store);
-    if (fill.isEmpty() || fill.get().usedBytes() < FULL * fill.get().capacityBytes()) {
+    Optional<Fill> usage = client.fill(store);
+    if (usage.isEmpty() || usage.get().usedBytes() < FULL * usage.get().capacityBytes()) {
       return;
     }
-    long toFree = (long) (fill.get().usedBytes() - ROOM * fill.get().capacityBytes());
+    long bytesToFree = (long) (usage.get().usedBytes() - ROOM * usage.get().capacityBytes());
     for (KeptManifest manifest : client.manifests(store)) {
-      if (toFree <= 0) {
+      if (bytesToFree <= 0) {
         break;
       }
       if (client.withdraw(store, manifest.id())) {
-        toFree -= manifest.bytes();
+        bytesToFree -= manifest.bytes();
       }
     }
   }
 
-  /** Returns the bytes of memory-bound state: the number of groups with a history. */
+  /**
+   * Returns the estimated number of groups with a request history, which determines the memory that
+   * this object uses.
+   */
   public long groups() {
     return histories.estimatedSize();
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/kept/LinkBudget.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/kept/LinkBudget.java
@@ -18,8 +18,11 @@
 import org.landingtrack.internal.base.Ticker;
 
 /**
- * Bytes that may be moved over the links to the store VMs, and how fast they were seen to go.
- * Thread-safe.
+ * Token bucket for the bytes that may cross the links to the store VMs, and an estimate of the
+ * throughput of these links. Thread-safe.
+ *
+ * <p>The bucket holds {@link #BURST_SECONDS} of the rate and starts full. Callers pass the rate, in
+ * bytes per second, with each call, since it is configuration that may change.
  */
 public final class LinkBudget {
   private static final double BURST_SECONDS = 2;
@@ -38,21 +41,24 @@
     this.bytes = Double.MAX_VALUE;
   }
 
-  /** Returns the bytes that may be moved now at a rate of so many a second. */
+  /** Returns the bytes that may be transferred now. */
   public synchronized long available(double bytesPerSecond) {
     refill(bytesPerSecond);
     return (long) Math.max(0, bytes);
   }
 
-  /** Returns the share of the budget that is used up, 0 to 1, at a rate of so many a second. */
+  /** Returns the share of the budget that is used up, 0 to 1; 1 if the rate is 0. */
   public synchronized double scarcity(double bytesPerSecond) {
     refill(bytesPerSecond);
-    double full = bytesPerSecond * BURST_SECONDS;
-    return full <= 0 ? 1 : Math.min(1, Math.max(0, 1 - bytes / full));
+    double capacity = bytesPerSecond * BURST_SECONDS;
+    return capacity <= 0 ? 1 : Math.min(1, Math.max(0, 1 - bytes / capacity));
   }
 
   /**
-   * Takes bytes if they are there; a move that is larger than the burst waits for a full budget.
+   * Takes bytes from the budget if enough are available. A transfer that is larger than the burst
+   * needs a full budget and leaves a debt that later refills pay off.
+   *
+   * @return false if the bytes are not available or the rate is 0
    */
   public synchronized boolean tryTake(long wanted, double bytesPerSecond) {
     refill(bytesPerSecond);
@@ -66,31 +72,34 @@
 
   private void refill(double bytesPerSecond) {
     long now = ticker.millis();
-    double gained = (now - lastMs) * bytesPerSecond / 1000;
-    bytes = Math.min(bytesPerSecond * BURST_SECONDS, bytes + gained);
+    double refilled = (now - lastMs) * bytesPerSecond / 1000;
+    bytes = Math.min(bytesPerSecond * BURST_SECONDS, bytes + refilled);
     lastMs = now;
   }
 
-  /** Notes a move that was made. */
-  public synchronized void observed(long movedBytes, double elapsedMs) {
-    if (movedBytes <= 0 || elapsedMs <= 0) {
+  /**
+   * Records a completed transfer and updates the estimated throughput. Ignores a transfer without
+   * bytes or without duration.
+   */
+  public synchronized void observed(long transferBytes, double elapsedMs) {
+    if (transferBytes <= 0 || elapsedMs <= 0) {
       return;
     }
-    moved += movedBytes;
-    bytesPerMs += SMOOTHING * (movedBytes / elapsedMs - bytesPerMs);
+    moved += transferBytes;
+    bytesPerMs += SMOOTHING * (transferBytes / elapsedMs - bytesPerMs);
   }
 
-  /** Notes a move that failed, which makes the link look slower. */
+  /** Records a failed transfer, which lowers the estimated throughput. */
   public synchronized void failed() {
     bytesPerMs *= 1 - SMOOTHING;
   }
 
-  /** Returns the observed speed. */
+  /** Returns the estimated throughput in bytes per millisecond, at least 1. */
   public synchronized double bytesPerMs() {
     return Math.max(1, bytesPerMs);
   }
 
-  /** Returns the bytes moved so far. */
+  /** Returns the total of the bytes transferred. */
   public synchronized long moved() {
     return moved;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/kept/PrefixHistory.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/kept/PrefixHistory.java
@@ -18,13 +18,14 @@
 import java.util.List;
 
 /**
- * How a prompt's group came back so far. Immutable.
+ * The request history of a group, that is, of all prompts with the same first block. Immutable.
  *
- * @param visits requests seen
- * @param lastMs when the last one came, on the monotonic clock
- * @param gapMs smoothed time between them; 0 before the second
- * @param lastChain keys of the last prompt
- * @param returningBlocks blocks that the last two prompts shared
+ * @param service name of the service
+ * @param visits number of requests
+ * @param lastMs time of the last request, in milliseconds of the monotonic clock
+ * @param gapMs smoothed interval between requests, in milliseconds; 0 before the second request
+ * @param lastChain block keys of the last prompt, in order
+ * @param returningBlocks number of leading blocks that the last two prompts share
  */
 public record PrefixHistory(
     String service,
@@ -35,20 +36,20 @@
     int returningBlocks) {
   private static final double SMOOTHING = 0.3;
 
-  /** Returns the history of a group at its first request. */
+  /** Creates the history of a group at its first request. */
   public static PrefixHistory first(String service, List<String> chain, long nowMs) {
     return new PrefixHistory(service, 1, nowMs, 0, List.copyOf(chain), 0);
   }
 
   /** Returns the history after one more request. */
   public PrefixHistory visited(List<String> chain, long nowMs) {
-    int common = 0;
+    int shared = 0;
     int limit = Math.min(chain.size(), lastChain.size());
-    while (common < limit && chain.get(common).equals(lastChain.get(common))) {
-      common++;
+    while (shared < limit && chain.get(shared).equals(lastChain.get(shared))) {
+      shared++;
     }
-    double gap = nowMs - lastMs;
-    double smoothed = visits == 1 ? gap : gapMs + SMOOTHING * (gap - gapMs);
-    return new PrefixHistory(service, visits + 1, nowMs, smoothed, List.copyOf(chain), common);
+    double interval = nowMs - lastMs;
+    double smoothed = visits == 1 ? interval : gapMs + SMOOTHING * (interval - gapMs);
+    return new PrefixHistory(service, visits + 1, nowMs, smoothed, List.copyOf(chain), shared);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/kept/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/kept/package-info.java
@@ -1,3 +1,6 @@
-/** Kept KV state in store VMs: what to export, restore and evict, and at what cost. */
+/**
+ * Export of KV cache blocks from engines to store VMs: which blocks are worth the transfer, the
+ * budget of the links, and eviction from full store VMs.
+ */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.kept;
--- a/landingtrack/src/test/java/org/landingtrack/internal/kept/ExportPolicyTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/kept/ExportPolicyTest.java
@@ -32,13 +32,13 @@
     return new Service("model", "v", 1, recompute, link, 1_000_000, 10, 10, "store");
   }
 
-  private static List<String> chain(int shared, int own, String tail) {
+  private static List<String> chain(int shared, int own, String suffix) {
     List<String> keys = new ArrayList<>();
     for (int i = 0; i < shared; i++) {
       keys.add("s" + i);
     }
     for (int i = 0; i < own; i++) {
-      keys.add(tail + i);
+      keys.add(suffix + i);
     }
     return keys;
   }
@@ -49,20 +49,33 @@
     PrefixHistory twice = once.visited(chain(40, 2, "b"), 60_000);
     PrefixHistory third = twice.visited(chain(40, 2, "c"), 90_000);
     return new Object[][] {
-      {"a returning part is exported without its tail", twice, NEVER, service(0, 0.01), 0, 40},
-      {"it stays so", third, NEVER, service(0, 0.01), 0, 40},
-      {"what is kept already is not exported again", twice, NEVER, service(0, 0.01), 40, 0},
-      {"first sight, prompts return", once, ALWAYS, service(0, 0.01), 0, 42},
-      {"first sight, prompts do not return", once, NEVER, service(0, 0.1), 0, 0},
-      {"links weigh too much", twice, ALWAYS, service(0, 100), 0, 0},
-      {"recomputing weighs more", twice, ALWAYS, service(10, 100), 0, 40},
+      {
+        "only the shared prefix of a repeated prompt is exported",
+        twice,
+        NEVER,
+        service(0, 0.01),
+        0,
+        40
+      },
+      {"the same after a third request", third, NEVER, service(0, 0.01), 0, 40},
+      {"stored blocks are not exported again", twice, NEVER, service(0, 0.01), 40, 0},
+      {"first request, high reuse rate", once, ALWAYS, service(0, 0.01), 0, 42},
+      {"first request, low reuse rate", once, NEVER, service(0, 0.1), 0, 0},
+      {"the link weight exceeds the savings", twice, ALWAYS, service(0, 100), 0, 0},
+      {"the recompute weight exceeds the link weight", twice, ALWAYS, service(10, 100), 0, 40},
     };
   }
 
   @Test(dataProvider = "cases")
   public void whatSavesMoreThanItMovesIsExported(
-      String name, PrefixHistory history, ReturnRate rate, Service service, int kept, int blocks) {
-    assertEquals(ExportPolicy.decide(history, rate, service, kept, 1_000).blocks(), blocks, name);
+      String name,
+      PrefixHistory history,
+      ReturnRate rate,
+      Service service,
+      int storedBlocks,
+      int blocks) {
+    assertEquals(
+        ExportPolicy.decide(history, rate, service, storedBlocks, 1_000).blocks(), blocks, name);
   }
 
   @Test
