--- a/landingtrack/src/main/java/org/landingtrack/internal/membership/Member.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/membership/Member.java
@@ -16,15 +16,16 @@
 package org.landingtrack.internal.membership;
 
 /**
- * One controller as it is seen.
+ * One controller, as another member of the group sees it.
  *
- * @param address peer port's address; the probes use the same number over UDP
- * @param incarnation raised only by the member itself, to refute a false suspicion
+ * @param vm name of its VM
+ * @param address {@code host:port} of the peer port; probes use the same port number over UDP
+ * @param incarnation number that only the member itself raises, to refute a false suspicion
  */
 public record Member(
     String vm, String dataCentre, String region, String address, State state, long incarnation) {
 
-  /** What is thought of a member. */
+  /** The state of a member. For the same incarnation, a state replaces those declared before it. */
   public enum State {
     ALIVE(0),
     SUSPECT(1),
@@ -33,21 +34,25 @@
 
     private final int rank;
 
-    State(int rank) {
-      this.rank = rank;
+    State(int precedence) {
+      this.rank = precedence;
     }
   }
 
+  /** Returns a copy with another state and incarnation. */
   Member with(State newState, long newIncarnation) {
     return new Member(vm, dataCentre, region, address, newState, newIncarnation);
   }
 
-  /** Returns true if work may be given to the member. */
+  /** Returns true if the member may be given work: it is alive or only suspected. */
   public boolean isUsable() {
     return state == State.ALIVE || state == State.SUSPECT;
   }
 
-  /** Returns true if this view replaces an older one of the same member. */
+  /**
+   * Returns true if this view replaces {@code known}: it has a higher incarnation, or the same one
+   * and a state of higher precedence.
+   */
   boolean overrides(Member known) {
     if (incarnation != known.incarnation) {
       return incarnation > known.incarnation;
--- a/landingtrack/src/main/java/org/landingtrack/internal/membership/Membership.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/membership/Membership.java
@@ -27,13 +27,15 @@
 import org.landingtrack.internal.membership.Probe.Outgoing;
 
 /**
- * The membership protocol without its sockets: each period one random member is probed; if it does
- * not answer, others probe it; then it is suspected, and dead unless it refutes that with a higher
- * incarnation. News travel on the probes, each a limited number of times, so that a member's cost
- * does not grow with the number of members.
+ * The membership protocol (SWIM) without its sockets.
  *
- * <p>Views may differ between members. Nothing that must be exclusive rests on them. Not
- * thread-safe; times are given by the caller in milliseconds of a monotonic clock.
+ * <p>Each period, one random member is probed. If it does not answer, other members probe it
+ * (indirect probes). If it still does not answer, it is suspected, and declared dead unless it
+ * refutes that with a higher incarnation. Updates about members are piggybacked on the probes, each
+ * a limited number of times, so that the cost per member does not grow with the number of members.
+ *
+ * <p>Views may differ between members; nothing that requires exclusivity may depend on them. Not
+ * thread-safe. The caller passes all times, in milliseconds of a monotonic clock.
  */
 public final class Membership {
   private static final int INDIRECT_PROBES = 3;
@@ -56,9 +58,14 @@
   private long probedSequence = -1;
   private boolean answered = true;
 
+  /** A probe on behalf of another member, to which the ACK is forwarded with its own number. */
   private record Relay(String address, long sequence, long atMs) {}
 
-  /** Creates the protocol for one member. */
+  /**
+   * Creates the protocol for one member.
+   *
+   * @param periodMs time between two calls of {@link #tick}
+   */
   public Membership(Member self, long periodMs, RandomGenerator random) {
     this.self = self;
     this.periodMs = periodMs;
@@ -72,14 +79,17 @@
     return self;
   }
 
-  /** Returns all known members, the dead ones too, in order of name. */
+  /** Returns all known members, including dead ones, sorted by VM name. */
   public List<Member> members() {
     List<Member> list = new ArrayList<>(members.values());
     list.sort(Comparator.comparing(Member::vm));
     return list;
   }
 
-  /** Takes in members from a list that may be old, such as the platform's VM list. */
+  /**
+   * Adds unknown members from a list that may be outdated, such as the platform's VM list. Known
+   * members do not change.
+   */
   public void seed(Collection<Member> seeds, long nowMs) {
     for (Member seed : seeds) {
       if (!members.containsKey(seed.vm())) {
@@ -88,7 +98,7 @@
     }
   }
 
-  /** Runs one period and returns the datagrams to send. */
+  /** Starts a period: evaluates the previous probe and returns the datagrams to send. */
   public List<Outgoing> tick(long nowMs) {
     ticks++;
     List<Outgoing> out = new ArrayList<>();
@@ -106,30 +116,33 @@
     return out;
   }
 
-  /** Runs the second half of a period: asks others to probe a member that has not answered. */
+  /**
+   * Runs the second half of a period: if the probed member has not answered, asks others to probe
+   * it. Returns the datagrams to send.
+   */
   public List<Outgoing> halfTick() {
     List<Outgoing> out = new ArrayList<>();
     Member target = members.get(probedVm);
     if (answered || target == null) {
       return out;
     }
-    List<Member> helpers = new ArrayList<>();
+    List<Member> proxies = new ArrayList<>();
     for (Member member : members.values()) {
       if (member.isUsable() && !member.vm().equals(self.vm()) && !member.vm().equals(probedVm)) {
-        helpers.add(member);
+        proxies.add(member);
       }
     }
-    for (int i = 0; i < INDIRECT_PROBES && !helpers.isEmpty(); i++) {
-      Member helper = helpers.remove(random.nextInt(helpers.size()));
+    for (int i = 0; i < INDIRECT_PROBES && !proxies.isEmpty(); i++) {
+      Member proxy = proxies.remove(random.nextInt(proxies.size()));
       out.add(
           new Outgoing(
-              helper.address(),
-              probe(Probe.Type.PING_REQUEST, probedSequence, target.address(), helper.vm())));
+              proxy.address(),
+              probe(Probe.Type.PING_REQUEST, probedSequence, target.address(), proxy.vm())));
     }
     return out;
   }
 
-  /** Takes in a datagram and returns the answers to send. */
+  /** Processes a received datagram and returns the datagrams to send. */
   public List<Outgoing> receive(Probe probe, long nowMs) {
     List<Outgoing> out = new ArrayList<>();
     learn(probe.from(), nowMs);
@@ -143,9 +156,9 @@
                   probe.from().address(),
                   probe(Probe.Type.ACK, probe.sequence(), "", probe.from().vm())));
       case PING_REQUEST -> {
-        long own = ++sequence;
-        relays.put(own, new Relay(probe.from().address(), probe.sequence(), nowMs));
-        out.add(new Outgoing(probe.target(), probe(Probe.Type.PING, own, "", "")));
+        long relaySequence = ++sequence;
+        relays.put(relaySequence, new Relay(probe.from().address(), probe.sequence(), nowMs));
+        out.add(new Outgoing(probe.target(), probe(Probe.Type.PING, relaySequence, "", "")));
       }
       case ACK -> {
         if (probe.sequence() == probedSequence) {
@@ -160,7 +173,7 @@
     return out;
   }
 
-  /** Leaves on purpose; returns the datagrams that tell some others. */
+  /** Leaves the group; returns datagrams that announce it to some alive members. */
   public List<Outgoing> leave() {
     self = self.with(State.LEFT, self.incarnation() + 1);
     members.put(self.vm(), self);
@@ -195,22 +208,22 @@
     }
   }
 
-  private void learn(Member news, long nowMs) {
-    if (news.vm().equals(self.vm())) {
-      refute(news);
+  private void learn(Member update, long nowMs) {
+    if (update.vm().equals(self.vm())) {
+      refute(update);
       return;
     }
-    Member known = members.get(news.vm());
-    if (known == null || news.overrides(known)) {
-      put(news, nowMs);
+    Member known = members.get(update.vm());
+    if (known == null || update.overrides(known)) {
+      put(update, nowMs);
     }
   }
 
-  private void refute(Member news) {
-    boolean accused = news.state() != State.ALIVE && self.state() == State.ALIVE;
-    if (news.incarnation() > self.incarnation()
-        || (accused && news.incarnation() == self.incarnation())) {
-      self = self.with(self.state(), news.incarnation() + 1);
+  private void refute(Member update) {
+    boolean falselyReported = update.state() != State.ALIVE && self.state() == State.ALIVE;
+    if (update.incarnation() > self.incarnation()
+        || (falselyReported && update.incarnation() == self.incarnation())) {
+      self = self.with(self.state(), update.incarnation() + 1);
       members.put(self.vm(), self);
       announce(self.vm());
     }
@@ -222,14 +235,16 @@
     announce(member.vm());
   }
 
+  /** Schedules an update to be sent 3 times the number of bits of the group size plus one. */
   private void announce(String vm) {
-    int spread = 3 * (32 - Integer.numberOfLeadingZeros(members.size() + 1));
-    timesToSend.put(vm, spread);
+    int transmissions = 3 * (32 - Integer.numberOfLeadingZeros(members.size() + 1));
+    timesToSend.put(vm, transmissions);
   }
 
   /**
-   * Makes a datagram. A receiver that is not thought alive is always told so: it may be back, and
-   * only it can refute that, long after the news of its death have stopped travelling.
+   * Creates a datagram. If the receiver is not considered alive, the datagram always includes this
+   * view, since the receiver may have recovered and only it can refute that, long after the update
+   * about its death is no longer sent.
    */
   private Probe probe(Probe.Type type, long number, String target, String receiver) {
     List<Member> updates = updates();
@@ -240,6 +255,7 @@
     return new Probe(type, number, self, target, updates);
   }
 
+  /** Selects the updates to piggyback, those with the most transmissions left first. */
   private List<Member> updates() {
     List<String> names = new ArrayList<>(timesToSend.keySet());
     names.sort(
@@ -254,22 +270,25 @@
       if (member != null) {
         updates.add(member);
       }
-      timesToSend.computeIfPresent(vm, (k, left) -> left <= 1 ? null : left - 1);
+      timesToSend.computeIfPresent(vm, (key, remaining) -> remaining <= 1 ? null : remaining - 1);
     }
     return updates;
   }
 
-  /** Visits the usable members in random order; now and then a dead one, to heal a partition. */
+  /**
+   * Selects the member to probe: the usable members in random order, and periodically a dead one,
+   * so that the group merges again after a partition.
+   */
   private @Nullable Member nextToProbe() {
     if (ticks % RESCUE_EVERY_PERIODS == 0) {
-      List<Member> dead = new ArrayList<>();
+      List<Member> deadMembers = new ArrayList<>();
       for (Member member : members.values()) {
         if (member.state() == State.DEAD) {
-          dead.add(member);
+          deadMembers.add(member);
         }
       }
-      if (!dead.isEmpty()) {
-        return dead.get(random.nextInt(dead.size()));
+      if (!deadMembers.isEmpty()) {
+        return deadMembers.get(random.nextInt(deadMembers.size()));
       }
     }
     while (true) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/membership/MembershipService.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/membership/MembershipService.java
@@ -31,7 +31,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Runs {@link Membership} over UDP. Thread-safe. */
+/**
+ * Runs {@link Membership} over UDP, with one thread for the timer and one for received datagrams.
+ * Thread-safe.
+ */
 public final class MembershipService implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("membership");
   private static final int MAX_DATAGRAM_BYTES = 8_192;
@@ -42,7 +45,12 @@
   private final Ticker ticker;
   private boolean secondHalf;
 
-  /** Opens the UDP port and starts probing. */
+  /**
+   * Opens the UDP port and starts probing.
+   *
+   * @param periodMs time between two probes, in milliseconds
+   * @throws LandingtrackException if the port cannot be opened
+   */
   public MembershipService(
       Membership membership, String host, int port, long periodMs, Ticker ticker) {
     this.membership = membership;
@@ -80,7 +88,7 @@
         }
         sendAll(answers);
       } catch (IOException e) {
-        log.debug("A datagram was dropped: {}.", e.toString());
+        log.debug("Dropped a datagram: {}.", e.toString());
       }
     }
   }
@@ -91,26 +99,26 @@
         byte[] bytes = MessagePack.MAPPER.writeValueAsBytes(out.probe());
         socket.send(new DatagramPacket(bytes, bytes.length, Addresses.parse(out.address())));
       } catch (IOException e) {
-        log.debug("A datagram was not sent: {}.", e.toString());
+        log.debug("Could not send a datagram: {}.", e.toString());
       }
     }
   }
 
-  /** Takes in members from a list that may be old. */
+  /** Adds unknown members from a list that may be outdated. */
   public void seed(Collection<Member> seeds) {
     synchronized (membership) {
       membership.seed(seeds, ticker.millis());
     }
   }
 
-  /** Returns all known members, the dead ones too. */
+  /** Returns all known members, including dead ones. */
   public List<Member> members() {
     synchronized (membership) {
       return membership.members();
     }
   }
 
-  /** Returns the members that work may be given to, this one included. */
+  /** Returns the members that may be given work, including this one. */
   public List<Member> usable() {
     return members().stream().filter(Member::isUsable).toList();
   }
@@ -122,14 +130,14 @@
     }
   }
 
-  /** Leaves on purpose and closes. */
+  /** Announces that this member leaves, and closes the port. */
   @Override
   public void close() {
-    List<Probe.Outgoing> goodbyes;
+    List<Probe.Outgoing> announcements;
     synchronized (membership) {
-      goodbyes = membership.leave();
+      announcements = membership.leave();
     }
-    sendAll(goodbyes);
+    sendAll(announcements);
     duty.close();
     socket.close();
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/membership/Probe.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/membership/Probe.java
@@ -21,19 +21,19 @@
  * A datagram of the membership protocol.
  *
  * @param type PING, ACK or PING_REQUEST
- * @param sequence matches an ACK to its PING
+ * @param sequence number that matches an ACK to its PING
  * @param from the sender
- * @param target address to probe, for PING_REQUEST; else empty
- * @param updates news about members
+ * @param target address to probe for PING_REQUEST; empty otherwise
+ * @param updates views of members that may be new to the receiver
  */
 public record Probe(Type type, long sequence, Member from, String target, List<Member> updates) {
-  /** Types of datagrams. */
+  /** The type of a datagram. */
   public enum Type {
     PING,
     ACK,
     PING_REQUEST
   }
 
-  /** A datagram with the address that it goes to. */
+  /** A datagram and its destination address. */
   public record Outgoing(String address, Probe probe) {}
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/membership/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/membership/package-info.java
@@ -1,3 +1,3 @@
-/** Which controllers are live: probing with refutation. */
+/** Failure detection and membership of the controllers, by a SWIM protocol over UDP. */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.membership;
--- a/landingtrack/src/main/java/org/landingtrack/internal/peer/Frames.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/peer/Frames.java
@@ -21,7 +21,10 @@
 import java.io.IOException;
 import org.landingtrack.internal.base.MessagePack;
 
-/** Reads and writes frames: four bytes of length, then MessagePack. */
+/**
+ * Reads and writes frames: a length of four bytes, big-endian, and then that many bytes of
+ * MessagePack.
+ */
 final class Frames {
   static final int MAX_FRAME_BYTES = 32 << 20;
   static final ObjectMapper MAPPER = MessagePack.MAPPER;
@@ -29,26 +32,38 @@
   private Frames() {}
 
   /**
-   * One frame.
+   * A message or an answer.
    *
-   * @param type simple name of the message's record; {@code error} for a failure
+   * @param type simple name of the message's record; {@code error} if the call failed
+   * @param body the record as MessagePack; for an error its message in UTF-8
    */
   record Frame(String type, byte[] body) {}
 
+  /**
+   * Writes and flushes a frame.
+   *
+   * @throws IOException if the frame is longer than {@link #MAX_FRAME_BYTES}
+   */
   static void write(DataOutputStream out, Frame frame) throws IOException {
     byte[] bytes = MAPPER.writeValueAsBytes(frame);
     if (bytes.length > MAX_FRAME_BYTES) {
-      throw new IOException("frame of " + bytes.length + " bytes is too long");
+      throw new IOException("frame of " + bytes.length + " bytes exceeds the limit of 32 MiB");
     }
     out.writeInt(bytes.length);
     out.write(bytes);
     out.flush();
   }
 
+  /**
+   * Reads a frame.
+   *
+   * @throws IOException if the length is negative or above {@link #MAX_FRAME_BYTES}, or the content
+   *     is not a frame
+   */
   static Frame read(DataInputStream in) throws IOException {
     int length = in.readInt();
     if (length < 0 || length > MAX_FRAME_BYTES) {
-      throw new IOException("frame of " + length + " bytes is too long");
+      throw new IOException("frame length of " + length + " bytes is not between 0 and 32 MiB");
     }
     return MAPPER.readValue(in.readNBytes(length), Frame.class);
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/peer/PeerClient.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/peer/PeerClient.java
@@ -29,8 +29,11 @@
 import org.landingtrack.internal.base.Addresses;
 
 /**
- * Calls other landingtrack processes. Connections are kept for the next call, a few for each peer.
- * Thread-safe.
+ * Calls other landingtrack processes and waits for their answers. Pools a few idle connections per
+ * peer. Thread-safe.
+ *
+ * <p>A call that fails on a pooled connection is sent again on a new one, so all messages must be
+ * safe to repeat.
  */
 public final class PeerClient implements AutoCloseable {
   static final String ERROR = "error";
@@ -45,28 +48,35 @@
     this(PeerSockets.PLAIN);
   }
 
-  public PeerClient(PeerSockets sockets) {
-    this.sockets = sockets;
+  /** Creates a client whose connections are secured by {@code transport}. */
+  public PeerClient(PeerSockets transport) {
+    this.sockets = transport;
   }
 
-  /** Calls a peer and waits for its answer, at most so long. */
+  /**
+   * Sends a message to a peer and waits for the answer.
+   *
+   * @param address {@code host:port} of the peer
+   * @param timeoutMs timeout of each read from the socket; connecting is limited to one second
+   * @throws PeerException if the peer does not answer or answers with an error
+   */
   public <T> T call(String address, Object message, Class<T> answerType, int timeoutMs) {
-    Connection kept = pool(address).poll();
-    if (kept != null) {
+    Connection pooled = pool(address).poll();
+    if (pooled != null) {
       try {
-        return call(address, kept, message, answerType, timeoutMs);
+        return call(address, pooled, message, answerType, timeoutMs);
       } catch (IOException e) {
-        // A kept connection may have died unseen; all peer calls may be repeated.
-        kept.close();
+        // The peer may have closed a pooled connection; all peer calls are safe to repeat.
+        pooled.close();
       }
     }
-    Connection fresh = null;
+    Connection opened = null;
     try {
-      fresh = Connection.open(sockets, address, Math.min(MAX_CONNECT_MS, timeoutMs));
-      return call(address, fresh, message, answerType, timeoutMs);
+      opened = Connection.open(sockets, address, Math.min(MAX_CONNECT_MS, timeoutMs));
+      return call(address, opened, message, answerType, timeoutMs);
     } catch (IOException e) {
-      if (fresh != null) {
-        fresh.close();
+      if (opened != null) {
+        opened.close();
       }
       throw new PeerException("peer " + address + " does not answer: " + e, e);
     }
@@ -89,7 +99,7 @@
   }
 
   private ArrayBlockingQueue<Connection> pool(String address) {
-    return idle.computeIfAbsent(address, a -> new ArrayBlockingQueue<>(IDLE_PER_PEER));
+    return idle.computeIfAbsent(address, key -> new ArrayBlockingQueue<>(IDLE_PER_PEER));
   }
 
   @Override
@@ -104,13 +114,14 @@
   }
 
   private record Connection(Socket socket, DataInputStream in, DataOutputStream out) {
-    static Connection open(PeerSockets sockets, String address, int timeoutMs) throws IOException {
+    static Connection open(PeerSockets transport, String address, int timeoutMs)
+        throws IOException {
       Socket socket = new Socket();
       try {
         socket.connect(Addresses.parse(address), timeoutMs);
         socket.setTcpNoDelay(true);
         socket.setSoTimeout(timeoutMs);
-        Socket secured = sockets.secure(socket, true);
+        Socket secured = transport.secure(socket, true);
         return new Connection(
             secured,
             new DataInputStream(new BufferedInputStream(secured.getInputStream())),
@@ -125,7 +136,7 @@
       try {
         socket.close();
       } catch (IOException e) {
-        // Nothing is lost: the connection is given up anyway.
+        // The connection is discarded anyway.
       }
     }
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/peer/PeerException.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/peer/PeerException.java
@@ -15,7 +15,7 @@
  */
 package org.landingtrack.internal.peer;
 
-/** A call of a peer that got no answer, or a failure as its answer. */
+/** Thrown when a call of a peer gets no answer, or an error as its answer. */
 public final class PeerException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/peer/PeerServer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/peer/PeerServer.java
@@ -37,7 +37,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Answers calls of other landingtrack processes. One thread a connection, their number bounded.
+ * Answers calls of other landingtrack processes. Uses one thread per connection and closes new
+ * connections above a limit. Thread-safe.
  *
  * <pre>{@code
  * server.on(Ping.class, ping -> new Pong(ping.sequence()));
@@ -57,7 +58,10 @@
   private final Semaphore connections = new Semaphore(MAX_CONNECTIONS);
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
 
-  /** Handles one type of message; the result is the answer. */
+  /**
+   * Handles one type of message and returns the answer. A {@link RuntimeException} is sent to the
+   * caller as an error with the exception's message.
+   */
   @FunctionalInterface
   public interface Handler<T> {
     Object handle(T message) throws InterruptedException;
@@ -69,24 +73,28 @@
     }
   }
 
-  private PeerServer(ServerSocket listener, PeerSockets sockets) {
+  private PeerServer(ServerSocket listener, PeerSockets transport) {
     this.listener = listener;
-    this.sockets = sockets;
+    this.sockets = transport;
     this.acceptor = Duty.daemon("peer-accept").newThread(this::acceptAll);
   }
 
-  /** Opens a port without TLS; 0 takes a free one. */
+  /** Opens a port without TLS. Port 0 selects a free port. */
   public static PeerServer open(String host, int port) {
     return open(host, port, PeerSockets.PLAIN);
   }
 
-  /** Opens the port; 0 takes a free one. */
-  public static PeerServer open(String host, int port, PeerSockets sockets) {
+  /**
+   * Opens a port. Port 0 selects a free port.
+   *
+   * @throws LandingtrackException if the port cannot be opened
+   */
+  public static PeerServer open(String host, int port, PeerSockets transport) {
     try {
       ServerSocket listener = new ServerSocket();
       listener.setReuseAddress(true);
       listener.bind(new InetSocketAddress(InetAddress.getByName(host), port));
-      PeerServer server = new PeerServer(listener, sockets);
+      PeerServer server = new PeerServer(listener, transport);
       server.acceptor.start();
       return server;
     } catch (IOException e) {
@@ -95,12 +103,12 @@
     }
   }
 
-  /** Returns the port that is open. */
+  /** Returns the open port. */
   public int port() {
     return listener.getLocalPort();
   }
 
-  /** Sets the handler for a type of message. */
+  /** Registers the handler for a type of message, replacing an earlier one. */
   public <T> PeerServer on(Class<T> type, Handler<T> handler) {
     routes.put(type.getSimpleName(), new Route<>(type, handler));
     return this;
@@ -117,7 +125,7 @@
         open.add(socket);
         Duty.daemon("peer-connection").newThread(() -> serve(socket)).start();
       } catch (IOException e) {
-        log.debug("Accepting ended: {}.", e.toString());
+        log.debug("Accepting a connection failed: {}.", e.toString());
       }
     }
   }
@@ -135,7 +143,7 @@
         Frames.write(out, answer(Frames.read(in)));
       }
     } catch (IOException e) {
-      log.debug("A connection ended: {}.", e.toString());
+      log.debug("Connection ended: {}.", e.toString());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
@@ -147,14 +155,14 @@
   private Frames.Frame answer(Frames.Frame request) throws IOException, InterruptedException {
     Route<?> route = routes.get(request.type());
     if (route == null) {
-      return error("no handler for " + request.type());
+      return error("no handler for messages of type " + request.type());
     }
     try {
       Object result = route.handle(request.body());
       return new Frames.Frame(
           result.getClass().getSimpleName(), Frames.MAPPER.writeValueAsBytes(result));
     } catch (RuntimeException e) {
-      log.warn("A call of {} failed: {}.", request.type(), e.toString());
+      log.warn("Handler for message type {} failed: {}.", request.type(), e.toString());
       return error(messageOf(e));
     }
   }
@@ -175,10 +183,10 @@
       for (Socket socket : open) {
         socket.close();
       }
-      // The port is free only once the thread that waits on it has let go.
+      // The port is released only after the thread blocked in accept() has returned.
       acceptor.join(CLOSE_MS);
     } catch (IOException e) {
-      log.debug("Closing failed: {}.", e.toString());
+      log.debug("Closing the peer port failed: {}.", e.toString());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/peer/PeerSockets.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/peer/PeerSockets.java
@@ -20,21 +20,26 @@
 import javax.net.ssl.SSLContext;
 import javax.net.ssl.SSLSocket;
 
-/** How connections between processes are secured. Thread-safe. */
+/**
+ * Secures the connections between processes, with TLS or not at all. Implementations are
+ * thread-safe.
+ */
 public interface PeerSockets {
-  /** As they are. */
+  /** Leaves connections unencrypted. */
   PeerSockets PLAIN = (socket, client) -> socket;
 
   /**
-   * Secures a connection, at the latest within the socket's read timeout.
+   * Secures a connection. Each read of the handshake is limited by the socket's read timeout.
    *
-   * @param client true at the side that connected
+   * @param client true on the side that opened the connection
+   * @return the socket to use from now on
    */
   Socket secure(Socket socket, boolean client) throws IOException;
 
   /**
-   * Returns TLS in which both sides must show a certificate of the authority. Addresses are not
-   * compared with the certificates: VMs are replaced at any time, and any of them may ask any.
+   * Returns mutual TLS: both sides must present a certificate that the context trusts. Certificates
+   * are not matched against addresses, since VMs are replaced at any time and each may call any
+   * other.
    */
   static PeerSockets tls(SSLContext context) {
     return (socket, client) -> {
--- a/landingtrack/src/main/java/org/landingtrack/internal/peer/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/peer/package-info.java
@@ -1,3 +1,3 @@
-/** Frames between landingtrack's own processes: TCP with MessagePack. */
+/** Calls between landingtrack's own processes: MessagePack frames over TCP, optionally with TLS. */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.peer;
--- a/landingtrack/src/test/java/org/landingtrack/internal/membership/MembershipTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/membership/MembershipTest.java
@@ -33,7 +33,7 @@
 public final class MembershipTest {
   private static final long PERIOD_MS = 100;
 
-  /** Members whose datagrams pass through a table of who reaches whom. */
+  /** A simulated network of members with failed members, blocked links and random loss. */
   private static final class Network {
     private final Map<String, Membership> byAddress = new HashMap<>();
     private final Set<String> down = new HashSet<>();
@@ -59,9 +59,9 @@
     void run(int periods) {
       for (int i = 0; i < periods; i++) {
         nowMs += PERIOD_MS / 2;
-        byAddress.forEach((address, m) -> deliver(address, m.halfTick()));
+        byAddress.forEach((address, membership) -> deliver(address, membership.halfTick()));
         nowMs += PERIOD_MS / 2;
-        byAddress.forEach((address, m) -> deliver(address, m.tick(nowMs)));
+        byAddress.forEach((address, membership) -> deliver(address, membership.tick(nowMs)));
       }
     }
 
@@ -78,9 +78,9 @@
       }
     }
 
-    State seen(int by, int of) {
-      for (Member member : byAddress.get("a" + by).members()) {
-        if (member.vm().equals("vm-" + of)) {
+    State seen(int observer, int observed) {
+      for (Member member : byAddress.get("a" + observer).members()) {
+        if (member.vm().equals("vm-" + observed)) {
           return member.state();
         }
       }
@@ -118,7 +118,7 @@
     assertTrue(network.byAddress.get("a0").self().incarnation() > 1);
   }
 
-  /** One cut link must not make a death, since others still reach the member. */
+  /** A member that one other member cannot reach is not declared dead: others reach it. */
   @Test
   public void aCutBetweenTwoMembersIsNoDeath() {
     Network network = new Network(6, 9);
@@ -137,9 +137,12 @@
     network.run(300);
     network.loss = 0;
     network.run(150);
-    for (int by = 0; by < 12; by++) {
-      for (int of = 0; of < 12; of++) {
-        assertEquals(network.seen(by, of), State.ALIVE, "vm-" + of + " as vm-" + by + " sees it");
+    for (int observer = 0; observer < 12; observer++) {
+      for (int observed = 0; observed < 12; observed++) {
+        assertEquals(
+            network.seen(observer, observed),
+            State.ALIVE,
+            "vm-" + observed + " as vm-" + observer + " sees it");
       }
     }
   }
@@ -158,9 +161,12 @@
     assertEquals(network.seen(0, 7), State.DEAD);
     network.cut.clear();
     network.run(200);
-    for (int by = 0; by < 8; by++) {
-      for (int of = 0; of < 8; of++) {
-        assertEquals(network.seen(by, of), State.ALIVE, "vm-" + of + " as vm-" + by + " sees it");
+    for (int observer = 0; observer < 8; observer++) {
+      for (int observed = 0; observed < 8; observed++) {
+        assertEquals(
+            network.seen(observer, observed),
+            State.ALIVE,
+            "vm-" + observed + " as vm-" + observer + " sees it");
       }
     }
   }
--- a/landingtrack/src/test/java/org/landingtrack/internal/model/ConfigModelTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/model/ConfigModelTest.java
@@ -33,9 +33,9 @@
 import org.testng.annotations.Test;
 
 /**
- * The platform, a controller that pulls from it and a gateway that pulls from the controller, under
- * every schedule of writes, pulls, late and crossed answers and restarts: a revision never falls,
- * and what a replica says it has it does have.
+ * Explores the platform, a controller that pulls configuration from it, and a gateway that pulls
+ * from the controller, under all schedules of writes, pulls, late and reordered answers, and
+ * restarts. A replica's revision never decreases, and a replica has all entries up to its revision.
  */
 public final class ConfigModelTest {
   private static final List<String> NAMES = List.of("x", "y");
@@ -56,13 +56,13 @@
     @Override
     public List<Action> actions() {
       return List.of(
-          new Action("x is written", () -> write("x")),
-          new Action("y is written", () -> write("y")),
-          new Action("the controller pulls", () -> pull(platform, controller)),
-          new Action("the gateway pulls", () -> pull(controller, gateway)),
-          new Action("an answer is on its way", this::capture),
-          new Action("it reaches the controller", () -> arrive(controller)),
-          new Action("it reaches the gateway", () -> arrive(gateway)),
+          new Action("write x", () -> write("x")),
+          new Action("write y", () -> write("y")),
+          new Action("the controller pulls from the platform", () -> pull(platform, controller)),
+          new Action("the gateway pulls from the controller", () -> pull(controller, gateway)),
+          new Action("the platform sends an answer", this::capture),
+          new Action("the answer reaches the controller", () -> arrive(controller)),
+          new Action("the answer reaches the gateway", () -> arrive(gateway)),
           new Action("the gateway restarts", () -> gateway = new ConfigReplica()));
     }
 
@@ -95,8 +95,8 @@
     @Override
     public void check() {
       for (ConfigReplica replica : List.of(controller, gateway)) {
-        long before = revisions.getOrDefault(replica, 0L);
-        assertTrue(replica.revision() >= before, "the revision fell");
+        long previous = revisions.getOrDefault(replica, 0L);
+        assertTrue(replica.revision() >= previous, "the revision decreased");
         revisions.put(replica, replica.revision());
         NAMES.forEach(name -> checkEntry(replica, name));
       }
@@ -104,15 +104,15 @@
 
     private void checkEntry(ConfigReplica replica, String name) {
       String key = StoredEntry.key(Kind.MODEL, name);
-      long due = 0;
+      long expected = 0;
       for (ConfigEntry entry : history) {
         if (entry.key().equals(key) && entry.revision() <= replica.revision()) {
-          due = entry.revision();
+          expected = entry.revision();
         }
       }
-      Optional<ConfigEntry> held = replica.entry(Kind.MODEL, name);
-      long has = held.map(ConfigEntry::revision).orElse(0L);
-      assertTrue(has >= due, name + " at revision " + has + " instead of " + due);
+      Optional<ConfigEntry> entryHeld = replica.entry(Kind.MODEL, name);
+      long actual = entryHeld.map(ConfigEntry::revision).orElse(0L);
+      assertTrue(actual >= expected, name + " at revision " + actual + " instead of " + expected);
     }
   }
 
@@ -131,10 +131,13 @@
     Schedules.random(World::new, seed, 500, 60);
   }
 
-  /** Checks the check: an answer taken for one that begins at the replica's own revision. */
+  /**
+   * Verifies that the invariants detect a fault: a replica that merges every answer as if it had no
+   * gap.
+   */
   @Test
   public void aGapThatIsOverlookedIsFound() {
-    AssertionError found =
+    AssertionError error =
         expectThrows(
             AssertionError.class,
             () ->
@@ -149,6 +152,6 @@
                     1,
                     500,
                     60));
-    assertTrue(String.valueOf(found.getMessage()).contains("instead of"), found.getMessage());
+    assertTrue(String.valueOf(error.getMessage()).contains("instead of"), error.getMessage());
   }
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/model/LeaseModelTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/model/LeaseModelTest.java
@@ -32,13 +32,14 @@
 import org.testng.annotations.Test;
 
 /**
- * Two processes and a lease, under every schedule of steps, restarts, releases, time, lost writes
- * and outages: never two holders, and no epoch held twice.
+ * Explores two processes that compete for a lease, under all schedules of steps, restarts,
+ * releases, passing time, lost writes and platform outages. There are never two holders, and no
+ * epoch is held twice.
  */
 public final class LeaseModelTest {
   private static final long DURATION_MS = 1_000;
 
-  /** The second process's clock runs faster by this much, within the lease's margin. */
+  /** Rate of the second process's clock relative to the first, within the lease's drift margin. */
   private static final double ALLOWED_DRIFT = 1.05;
 
   private static final class World implements Schedules.World {
@@ -63,12 +64,13 @@
       return List.of(
           new Action("a steps", () -> a.step()),
           new Action("b steps", () -> b.step()),
-          new Action("b looks", () -> b.look()),
-          new Action("0.3 pass", () -> pass(300)),
-          new Action("1.15 pass", () -> pass(1_150)),
-          new Action("a write's answer is lost", () -> api.failWrites(Fault.LOST_ANSWER)),
-          new Action("a write is lost", () -> api.failWrites(Fault.LOST_CALL)),
-          new Action("platform out or back", this::switchOutage),
+          new Action("b observes the lease", () -> b.look()),
+          new Action("0.3 of the lease duration passes", () -> pass(300)),
+          new Action("1.15 of the lease duration passes", () -> pass(1_150)),
+          new Action(
+              "the answer of the next write is lost", () -> api.failWrites(Fault.LOST_ANSWER)),
+          new Action("the next write is lost", () -> api.failWrites(Fault.LOST_CALL)),
+          new Action("the platform fails or recovers", this::switchOutage),
           new Action("a releases", () -> a.release()),
           new Action("a restarts", () -> a = new Lease(api, clockA, "duty", "a", DURATION_MS)));
     }
@@ -93,7 +95,8 @@
     }
 
     /**
-     * Each knows until when the other held, by its own clock; it never takes that for too early.
+     * Checks that {@link Lease#beforeUntilMs} of the holder is never earlier, by the holder's own
+     * clock, than the time until which the other process held the lease.
      */
     private void noteHeld() {
       if (a.token().isPresent()) {
@@ -112,8 +115,8 @@
         return;
       }
       long epoch = token.getAsLong();
-      Lease before = holderByEpoch.putIfAbsent(epoch, lease);
-      assertTrue(before == null || before == lease, "epoch " + epoch + " is held twice");
+      Lease previous = holderByEpoch.putIfAbsent(epoch, lease);
+      assertTrue(previous == null || previous == lease, "epoch " + epoch + " is held twice");
       assertTrue(epoch >= highestEpoch, "epoch " + epoch + " after " + highestEpoch);
       highestEpoch = epoch;
     }
@@ -135,12 +138,15 @@
     Schedules.random(() -> new World(ALLOWED_DRIFT), seed, 2_000, 60);
   }
 
-  /** Checks the check: with a clock far outside the margin the exploration finds two holders. */
+  /**
+   * Verifies that the invariants detect a fault: with clock drift far outside the margin, the
+   * exploration finds two holders.
+   */
   @Test
   public void aClockOutsideTheMarginIsFound() {
-    AssertionError found =
+    AssertionError error =
         expectThrows(
             AssertionError.class, () -> Schedules.random(() -> new World(4), 1, 2_000, 60));
-    assertTrue(String.valueOf(found.getMessage()).contains("two holders"), found.getMessage());
+    assertTrue(String.valueOf(error.getMessage()).contains("two holders"), error.getMessage());
   }
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/model/Schedules.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/model/Schedules.java
@@ -21,41 +21,41 @@
 import java.util.function.Supplier;
 
 /**
- * Explores what can happen to a small world: every schedule of its actions up to a length, and long
- * random ones from seeds. The world checks its invariants after each action.
+ * Model checker for small models: runs all schedules of a model's actions of a given length, or
+ * long random schedules from a seed. Checks the invariants of the model after each action.
  */
 public final class Schedules {
   private Schedules() {}
 
-  /** A world in its first state, with what may happen to it. */
+  /** A model in its initial state, with its possible actions and its invariants. */
   public interface World {
-    /** Returns what may happen, always in the same order. */
+    /** Returns the possible actions, always in the same order. */
     List<Action> actions();
 
     /** Throws an {@link AssertionError} if an invariant does not hold. */
     void check();
   }
 
-  /** Something that may happen. */
+  /** An action of a model. */
   public record Action(String name, Runnable run) {}
 
-  /** Tries every schedule of a length; returns their number. */
+  /** Runs all schedules of a length and returns their number. */
   public static int exhaustive(Supplier<World> start, int length) {
     int choices = start.get().actions().size();
     int schedules = (int) Math.pow(choices, length);
     for (int number = 0; number < schedules; number++) {
       int[] schedule = new int[length];
-      int rest = number;
+      int remaining = number;
       for (int i = 0; i < length; i++) {
-        schedule[i] = rest % choices;
-        rest /= choices;
+        schedule[i] = remaining % choices;
+        remaining /= choices;
       }
       run(start.get(), schedule);
     }
     return schedules;
   }
 
-  /** Tries random schedules. */
+  /** Runs random schedules of a length. */
   public static void random(Supplier<World> start, long seed, int schedules, int length) {
     SplittableRandom random = new SplittableRandom(seed);
     int choices = start.get().actions().size();
@@ -65,16 +65,16 @@
     }
   }
 
-  private static void run(World world, int[] schedule) {
-    List<Action> actions = world.actions();
-    List<String> done = new ArrayList<>();
+  private static void run(World model, int[] schedule) {
+    List<Action> actions = model.actions();
+    List<String> executed = new ArrayList<>();
     for (int choice : schedule) {
-      done.add(actions.get(choice).name());
+      executed.add(actions.get(choice).name());
       actions.get(choice).run().run();
       try {
-        world.check();
+        model.check();
       } catch (AssertionError e) {
-        throw new AssertionError("after " + done + ": " + e.getMessage(), e);
+        throw new AssertionError("after " + executed + ": " + e.getMessage(), e);
       }
     }
   }
--- a/landingtrack/src/test/java/org/landingtrack/internal/peer/PeerTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/peer/PeerTest.java
@@ -86,7 +86,7 @@
     }
   }
 
-  /** Whoever closed a server may open its port again at once. */
+  /** A port can be opened again as soon as {@link PeerServer#close} returns. */
   @Test
   public void aClosedPortIsFreeAtOnce() {
     PeerServer server = PeerServer.open("127.0.0.1", 0);
@@ -108,7 +108,7 @@
     };
   }
 
-  /** Bad frames cost their own connection and nothing else. */
+  /** Malformed frames close their own connection; the server still answers others. */
   @Test(dataProvider = "badBytes")
   public void badFramesEndTheirConnectionOnly(byte[] bytes) throws Exception {
     try (PeerServer server = PeerServer.open("127.0.0.1", 0);
@@ -124,7 +124,7 @@
     }
   }
 
-  /** A peer that takes the connection and then says nothing, as a frozen process does. */
+  /** A peer that accepts the connection but never answers, like a suspended process. */
   @Test
   public void aSilentPeerEndsInATimeout() throws Exception {
     try (ServerSocket silent = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
