--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/Backoff.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/Backoff.java
@@ -17,7 +17,10 @@
 
 import java.util.random.RandomGenerator;
 
-/** Exponential backoff with full jitter. Not thread-safe: one for each retrying duty. */
+/**
+ * Computes the delays between retries: exponential backoff with full jitter. Not thread-safe; each
+ * retry loop has its own instance.
+ */
 public final class Backoff {
   private static final int MAX_DOUBLINGS = 20;
 
@@ -26,23 +29,30 @@
   private final long maxMs;
   private int failures;
 
+  /**
+   * Creates a backoff without failures.
+   *
+   * @param firstMs longest delay after the first failure; it doubles with each further failure
+   * @param maxMs upper limit of the longest delay
+   */
   public Backoff(RandomGenerator random, long firstMs, long maxMs) {
     if (firstMs < 1 || maxMs < firstMs) {
-      throw new IllegalArgumentException("need 1 <= firstMs <= maxMs: " + firstMs + ", " + maxMs);
+      throw new IllegalArgumentException(
+          "backoff needs 1 <= firstMs <= maxMs, not " + firstMs + ", " + maxMs);
     }
     this.random = random;
     this.firstMs = firstMs;
     this.maxMs = maxMs;
   }
 
-  /** Returns how long to wait after one more failure, at least 1 ms. */
+  /** Counts one more failure and returns the delay before the next attempt, at least 1 ms. */
   public long nextMs() {
-    long ceiling = Math.min(maxMs, firstMs << Math.min(failures, MAX_DOUBLINGS));
+    long limitMs = Math.min(maxMs, firstMs << Math.min(failures, MAX_DOUBLINGS));
     failures++;
-    return 1 + random.nextLong(ceiling);
+    return 1 + random.nextLong(limitMs);
   }
 
-  /** Starts over after a success. */
+  /** Resets the failure count after a success, so that delays start short again. */
   public void reset() {
     failures = 0;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/Breaker.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/Breaker.java
@@ -18,8 +18,8 @@
 import org.landingtrack.internal.base.Ticker;
 
 /**
- * A circuit breaker: after some failures in a row it stays open for a while, then lets one probe
- * through at a time. Thread-safe.
+ * A circuit breaker. It opens after a number of consecutive failures and then allows one probe call
+ * per open period until a call succeeds. Thread-safe.
  */
 public final class Breaker {
   private final Ticker ticker;
@@ -28,31 +28,37 @@
   private int failures;
   private long openUntilMs = Long.MIN_VALUE;
 
+  /**
+   * Creates a closed breaker.
+   *
+   * @param threshold consecutive failures from which the breaker is open
+   * @param openMs interval between probe calls while the breaker is open
+   */
   public Breaker(Ticker ticker, int threshold, long openMs) {
     this.ticker = ticker;
     this.threshold = threshold;
     this.openMs = openMs;
   }
 
-  /** Returns true if a call may go now. */
+  /** Returns true if a call may be sent now; while the breaker is open, this call is the probe. */
   public synchronized boolean allows() {
     if (failures < threshold) {
       return true;
     }
-    long now = ticker.millis();
-    if (now < openUntilMs) {
+    long nowMs = ticker.millis();
+    if (nowMs < openUntilMs) {
       return false;
     }
-    openUntilMs = now + openMs;
+    openUntilMs = nowMs + openMs;
     return true;
   }
 
-  /** Notes a call that was answered. */
+  /** Records a call that was answered and closes the breaker. */
   public synchronized void succeeded() {
     failures = 0;
   }
 
-  /** Notes a call that failed. */
+  /** Records a failed call; opens the breaker if the threshold is reached. */
   public synchronized void failed() {
     failures++;
     if (failures >= threshold) {
@@ -60,7 +66,7 @@
     }
   }
 
-  /** Returns true while calls are held back. */
+  /** Returns true while only probe calls are allowed. */
   public synchronized boolean isOpen() {
     return failures >= threshold;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/CallBudget.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/CallBudget.java
@@ -19,8 +19,8 @@
 import org.landingtrack.internal.platform.ObjectApi.CallClass;
 
 /**
- * A token bucket for calls to the platform. Lower classes leave a reserve for the higher ones, so
- * that a burst of status never delays a lease. Thread-safe.
+ * A token bucket that limits the rate of calls to the platform. Lower call classes leave a reserve
+ * of tokens for the higher ones, so that a burst of status calls never delays a lease. Thread-safe.
  */
 public final class CallBudget {
   private final Ticker ticker;
@@ -29,10 +29,10 @@
   private double tokens;
   private long lastMs;
 
-  /** Creates a budget of so many calls a second, with one second's worth of burst. */
+  /** Creates a full bucket for a call rate; its capacity is the calls of one second. */
   public CallBudget(Ticker ticker, double callsPerSecond) {
     if (callsPerSecond <= 0) {
-      throw new IllegalArgumentException("callsPerSecond must be positive: " + callsPerSecond);
+      throw new IllegalArgumentException("callsPerSecond must be positive, not " + callsPerSecond);
     }
     this.ticker = ticker;
     this.perMs = callsPerSecond / 1000;
@@ -41,11 +41,11 @@
     this.lastMs = ticker.millis();
   }
 
-  /** Takes a token if the class may; returns false if the call must wait. */
+  /** Takes a token if enough tokens are left for the class; returns false if the call must wait. */
   public synchronized boolean tryTake(CallClass callClass) {
-    long now = ticker.millis();
-    tokens = Math.min(capacity, tokens + (now - lastMs) * perMs);
-    lastMs = now;
+    long nowMs = ticker.millis();
+    tokens = Math.min(capacity, tokens + (nowMs - lastMs) * perMs);
+    lastMs = nowMs;
     double reserve = capacity * callClass.reserve();
     if (tokens - 1 < Math.min(reserve, capacity - 1)) {
       return false;
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/DatedObjectApi.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/DatedObjectApi.java
@@ -27,20 +27,25 @@
 import org.landingtrack.internal.base.Ticker;
 
 /**
- * An Object API that knows when changes were made at the earliest: after the last answer that lacks
- * them.
+ * Wraps an Object API and records the earliest possible time of each change: a change was made
+ * after the last answer that does not contain it.
  *
- * <p>What a process reads may be old by then: its connection may have fallen silent, it may have
- * stood still while the answer lay in its socket, or it may just have started. A bound that runs
- * from a change must not run from the moment of reading it. Thread-safe.
+ * <p>What a process reads may already be old: its connection may have gone silent, the process may
+ * have been suspended while the answer waited in its socket, or it may just have started. A time
+ * limit that starts with a change must therefore not be measured from the time at which the change
+ * is read. Thread-safe.
  */
 public final class DatedObjectApi implements ObjectApi {
-  /** Answers of a prefix that are remembered; one for each of its changes in a bound's time. */
+  /**
+   * Answers kept for each prefix: enough for one answer per change within the time limits that are
+   * measured from changes.
+   */
   private static final int MAX_ANSWERS = 64;
 
   /**
-   * An answer is read at most so long after the store made it, unless this process stood still
-   * meanwhile. A path to the store that is cut shows within 3 s, and bounds leave a margin for it.
+   * Maximum time from the store making an answer to this process reading it, unless the process was
+   * suspended in between. A cut path to the store is detected within 3 s, and the time limits leave
+   * a margin for that.
    */
   private static final long READ_MS = 1_000;
 
@@ -50,16 +55,16 @@
   private final Map<String, Deque<Answer>> answers = new HashMap<>();
 
   /**
-   * What an answer proves: there was no change of a prefix after a revision.
+   * An answer of the store: at its time, a prefix had no change after a revision.
    *
-   * @param atMs the earliest time at which it can have been made
+   * @param atMs the earliest time at which the store can have made the answer
    */
   private record Answer(long revision, long atMs) {}
 
   /**
-   * Creates a dated view.
+   * Creates a wrapper without any answers.
    *
-   * @param awake tells whether an answer may have lain in a socket
+   * @param awake detects suspensions of this process, during which answers wait in sockets
    */
   public DatedObjectApi(ObjectApi api, Ticker ticker, Awake awake) {
     this.api = api;
@@ -68,8 +73,8 @@
   }
 
   /**
-   * Returns a moment after which a change of a prefix was made, the latest that is known; empty if
-   * no answer without the change is remembered.
+   * Returns the latest known time before which a change of a prefix cannot have been made; empty if
+   * no answer without the change is kept.
    */
   public synchronized OptionalLong madeAfterMs(String prefix, long revision) {
     Iterator<Answer> latestFirst = answersOf(prefix).descendingIterator();
@@ -86,7 +91,10 @@
     return answers.computeIfAbsent(prefix, name -> new ArrayDeque<>());
   }
 
-  /** Returns when a kind had no change after a revision, the latest that is known; else empty. */
+  /**
+   * Returns the latest time at which a prefix is known to have had no change after a revision;
+   * empty unless the last answer was for this revision.
+   */
   public synchronized OptionalLong provenMs(String prefix, long revision) {
     Answer last = answersOf(prefix).peekLast();
     return last == null || last.revision() != revision
@@ -94,19 +102,22 @@
         : OptionalLong.of(last.atMs());
   }
 
-  /** Notes that a kind had no change after a revision up to a time, as somebody else was told. */
+  /**
+   * Records that a prefix had no change after a revision up to a time; also called with what a hub
+   * reports.
+   */
   synchronized void note(String prefix, long revision, long atMs) {
     Deque<Answer> known = answersOf(prefix);
     @Nullable Answer last = known.peekLast();
     if (last != null && revision < last.revision()) {
       return;
     }
-    long provenMs = atMs;
+    long unchangedMs = atMs;
     if (last != null && revision == last.revision()) {
       known.removeLast();
-      provenMs = Math.max(atMs, last.atMs());
+      unchangedMs = Math.max(atMs, last.atMs());
     }
-    known.addLast(new Answer(revision, provenMs));
+    known.addLast(new Answer(revision, unchangedMs));
     if (known.size() > MAX_ANSWERS) {
       known.removeFirst();
     }
@@ -124,19 +135,20 @@
   public Listing watch(CallClass callClass, String prefix, long afterRevision, long waitMs) {
     long sentMs = ticker.millis();
     Listing changes = api.watch(callClass, prefix, afterRevision, waitMs);
-    long madeMs = madeMs(sentMs);
-    if (madeMs > sentMs) {
-      // Nothing was to be told when the store got the call, or it had answered at once.
-      note(prefix, afterRevision, madeMs);
+    long minAnswerMs = madeMs(sentMs);
+    if (minAnswerMs > sentMs) {
+      // The store had no change when it received the call; otherwise it would have answered at
+      // once.
+      note(prefix, afterRevision, minAnswerMs);
     }
-    note(prefix, changes.revision(), madeMs);
+    note(prefix, changes.revision(), minAnswerMs);
     return changes;
   }
 
-  /** Returns when an answer that was just read can have been made at the earliest. */
+  /** Returns the earliest time at which the store can have made an answer that was just read. */
   private long madeMs(long sentMs) {
-    boolean mayHaveLain = awake.forMs() < READ_MS;
-    return mayHaveLain ? sentMs : Math.max(sentMs, ticker.millis() - READ_MS);
+    boolean mayBeDelayed = awake.forMs() < READ_MS;
+    return mayBeDelayed ? sentMs : Math.max(sentMs, ticker.millis() - READ_MS);
   }
 
   @Override
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/FeedCache.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/FeedCache.java
@@ -27,21 +27,24 @@
 import org.landingtrack.internal.platform.ObjectApi.Listing;
 
 /**
- * What this process read last of each kind of objects that it follows, with the latest changes, for
- * VMs that ask it instead of the Object API. Costs the memory of the objects once, and of a bounded
+ * Caches the objects of each kind that this process follows, together with their latest changes, to
+ * serve VMs that ask this process instead of the Object API. Holds each object once and a bounded
  * number of changes. Thread-safe.
  */
 public final class FeedCache {
-  /** Answers with changes that are kept; each is one naming, configuration, or round of servers. */
+  /**
+   * Answers with changes kept for each kind. Each holds one change of the published weights, one
+   * configuration change, or one batch of server changes.
+   */
   private static final int MAX_ANSWERS = 256;
 
   private final Map<String, Followed> kinds = new HashMap<>();
 
   /**
-   * How far this process has read.
+   * How far this process has read a kind.
    *
-   * @param revision all changes up to this one are known
-   * @param changedRevision the answer with the last change had this revision
+   * @param revision all changes up to this revision are known
+   * @param changedRevision revision of the last answer that contained a change
    */
   public record Position(long revision, long changedRevision) {}
 
@@ -53,7 +56,7 @@
     private long changedRevision;
   }
 
-  /** Returns a sink that keeps what it hears and passes it on. */
+  /** Returns a sink that stores the objects of a kind in this cache before passing them on. */
   public ObjectFeed.Sink keeping(String prefix, ObjectFeed.Sink sink) {
     return new ObjectFeed.Sink() {
       @Override
@@ -85,7 +88,10 @@
     };
   }
 
-  /** A list that follows others is kept as the changes since, for those that have the others. */
+  /**
+   * Stores a full list. If an older state of the kind is known, only the difference is stored, as
+   * changes, so that VMs with the older state can continue from it.
+   */
   private synchronized void replace(String prefix, Listing all) {
     Followed known = kinds.get(prefix);
     if (known != null && all.revision() >= known.revision) {
@@ -107,15 +113,15 @@
 
   private static List<StoredObject> changes(
       Map<String, StoredObject> before, List<StoredObject> now) {
-    Map<String, StoredObject> gone = new TreeMap<>(before);
+    Map<String, StoredObject> removed = new TreeMap<>(before);
     List<StoredObject> changes = new ArrayList<>();
     for (StoredObject object : now) {
-      StoredObject known = gone.remove(object.key());
+      StoredObject known = removed.remove(object.key());
       if (known == null || !known.value().equals(object.value())) {
         changes.add(object);
       }
     }
-    gone.values().forEach(object -> changes.add(object.removed()));
+    removed.values().forEach(object -> changes.add(object.removed()));
     return changes;
   }
 
@@ -139,7 +145,7 @@
     kind.changedRevision = changes.revision();
   }
 
-  /** Notes that a kind that was read has no change up to a revision. */
+  /** Records that a kind that was read has no further change up to a revision. */
   synchronized void unchangedTo(String prefix, long revision) {
     Followed kind = kinds.get(prefix);
     if (kind != null) {
@@ -147,7 +153,7 @@
     }
   }
 
-  /** Returns how far a kind was read; empty before it was. */
+  /** Returns how far a kind was read; empty before its first list. */
   public synchronized Optional<Position> position(String prefix) {
     Followed kind = kinds.get(prefix);
     return kind == null
@@ -155,7 +161,7 @@
         : Optional.of(new Position(kind.revision, kind.changedRevision));
   }
 
-  /** Returns all objects of a kind; empty before they were read. */
+  /** Returns all objects of a kind; empty before its first list. */
   public synchronized Optional<Listing> all(String prefix) {
     Followed kind = kinds.get(prefix);
     return kind == null
@@ -163,7 +169,7 @@
         : Optional.of(new Listing(kind.revision, new ArrayList<>(kind.objects.values())));
   }
 
-  /** Returns the changes of a kind after a revision; empty where they are not kept any more. */
+  /** Returns the changes of a kind after a revision; empty if they are no longer kept. */
   public synchronized Optional<Listing> since(String prefix, long revision) {
     @Nullable Followed kind = kinds.get(prefix);
     if (kind == null || revision < kind.completeSince) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/FeedNewsBoard.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/FeedNewsBoard.java
@@ -27,18 +27,22 @@
 import org.landingtrack.internal.loads.FeedNews;
 
 /**
- * What hubs say of the Object API, for threads that wait for a change. News count from when the
- * Object API can have said so at the earliest; what may have lain in a socket while this process
- * stood still does not count. Thread-safe.
+ * Holds the latest reports of hubs about the Object API and lets threads wait for a change. The age
+ * of a report counts from the earliest time at which the Object API can have given its content.
+ * Reports that may have waited in a socket while this process was suspended are dropped.
+ * Thread-safe.
  */
 public final class FeedNewsBoard {
-  /** News take so long at most on a sound link; the links of VMs hold some hundred milliseconds. */
+  /**
+   * Maximum time that a report is under way on a working link; the links of VMs buffer up to some
+   * hundred milliseconds.
+   */
   private static final long WAY_MS = 300;
 
-  /** After it stood still, a process reads what lay in its sockets within this time. */
+  /** Time within which a resumed process reads what waited in its sockets. */
   private static final long SETTLED_MS = 1_000;
 
-  /** A hub that did not answer is not asked for so long. */
+  /** Time for which a hub that did not answer is not asked again. */
   private static final long DISTRUST_MS = 2_000;
 
   private final Ticker ticker;
@@ -50,23 +54,23 @@
   private volatile ProofListener proofs = (prefix, revision, atMs) -> {};
 
   /**
-   * What a hub said of one kind.
+   * A report of a hub about one kind.
    *
-   * @param hub the address at which it is asked
-   * @param atMs when the Object API can have said so at the earliest
+   * @param hub the address at which the hub is asked
+   * @param atMs the earliest time at which the Object API can have given the content
    */
   record Heard(String hub, long revision, long changedRevision, long atMs) {}
 
-  /** Takes the proof that a kind had no change after a revision up to a time. */
+  /** Receives that a kind had no change after a revision up to a time. */
   interface ProofListener {
     void proven(String prefix, long revision, long atMs);
   }
 
   /**
-   * Creates a board without news.
+   * Creates a board without reports.
    *
-   * @param awake tells whether this process stood still
-   * @param prefixes the kinds that are followed; news of others are dropped
+   * @param awake detects suspensions of this process
+   * @param prefixes the kinds that are followed; reports about others are dropped
    */
   public FeedNewsBoard(Ticker ticker, Awake awake, Collection<String> prefixes) {
     this.prefixes = Set.copyOf(prefixes);
@@ -74,71 +78,77 @@
     this.awake = awake;
   }
 
-  /** Tells {@code listener} from now on what news prove. */
+  /** Sets the listener for what reports prove; replaces the previous one. */
   void onProof(ProofListener listener) {
     proofs = listener;
   }
 
-  /** Takes news of a hub. */
-  public void heard(String hub, List<FeedNews> news) {
-    if (news.isEmpty() || awake.forMs() < SETTLED_MS) {
+  /** Receives reports of a hub. */
+  public void heard(String hub, List<FeedNews> reports) {
+    if (reports.isEmpty() || awake.forMs() < SETTLED_MS) {
       return;
     }
     long nowMs = ticker.millis();
-    for (FeedNews each : news) {
-      if (!prefixes.contains(each.prefix())) {
+    for (FeedNews report : reports) {
+      if (!prefixes.contains(report.prefix())) {
         continue;
       }
-      long atMs = nowMs - WAY_MS - Math.max(0, each.ageMs());
-      note(new Heard(hub, each.revision(), each.changedRevision(), atMs), each.prefix());
-      proofs.proven(each.prefix(), each.revision(), atMs);
+      long atMs = nowMs - WAY_MS - Math.max(0, report.ageMs());
+      note(new Heard(hub, report.revision(), report.changedRevision(), atMs), report.prefix());
+      proofs.proven(report.prefix(), report.revision(), atMs);
     }
   }
 
-  /** Wakes those that wait only for a change: news come ten times a second. */
-  private synchronized void note(Heard heard, String prefix) {
+  /**
+   * Stores a report. Wakes waiting threads only for a change, since reports arrive ten times a
+   * second.
+   */
+  private synchronized void note(Heard report, String prefix) {
     Heard known = latest.get(prefix);
-    if (known != null && heard.atMs < known.atMs) {
+    if (known != null && report.atMs < known.atMs) {
       return;
     }
-    latest.put(prefix, heard);
-    if (known == null || heard.changedRevision > known.changedRevision) {
+    latest.put(prefix, report);
+    if (known == null || report.changedRevision > known.changedRevision) {
       notifyAll();
     }
   }
 
-  /** Returns the latest news of a kind that are no older than so long, of a hub that answers. */
+  /**
+   * Returns the latest report about a kind; empty if it is older than {@code maxAgeMs} or its hub
+   * recently did not answer.
+   */
   synchronized Optional<Heard> latest(String prefix, long maxAgeMs) {
-    @Nullable Heard heard = latest.get(prefix);
+    @Nullable Heard report = latest.get(prefix);
     long nowMs = ticker.millis();
-    if (heard == null || nowMs - heard.atMs > maxAgeMs) {
+    if (report == null || nowMs - report.atMs > maxAgeMs) {
       return Optional.empty();
     }
-    return nowMs < distrustedUntilMs.getOrDefault(heard.hub, Long.MIN_VALUE)
+    return nowMs < distrustedUntilMs.getOrDefault(report.hub, Long.MIN_VALUE)
         ? Optional.empty()
-        : Optional.of(heard);
+        : Optional.of(report);
   }
 
-  /** Notes that a hub did not answer. */
+  /** Records that a hub did not answer, so that it is not asked for a while. */
   synchronized void distrust(String hub) {
     distrustedUntilMs.put(hub, ticker.millis() + DISTRUST_MS);
   }
 
-  /** Ends all waits: what this process is to do has changed. */
+  /** Ends all waits, since the role of this process has changed. */
   synchronized void wake() {
     wakes++;
     notifyAll();
   }
 
-  /** Waits until a change of a kind after a revision is heard of, for so long at most. */
+  /** Waits until a change of a kind after a revision is reported, at most {@code waitMs}. */
   synchronized void await(String prefix, long afterRevision, long waitMs)
       throws InterruptedException {
     long endMs = ticker.millis() + waitMs;
     long leftMs = waitMs;
-    long wakesBefore = wakes;
-    while (leftMs > 0 && wakes == wakesBefore) {
-      Heard heard = latest.get(prefix);
-      if (heard != null && heard.changedRevision > afterRevision) {
+    long wakesAtStart = wakes;
+    while (leftMs > 0 && wakes == wakesAtStart) {
+      Heard report = latest.get(prefix);
+      if (report != null && report.changedRevision > afterRevision) {
         return;
       }
       wait(leftMs);
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/GuardedObjectApi.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/GuardedObjectApi.java
@@ -19,29 +19,33 @@
 import org.landingtrack.internal.base.Ticker;
 
 /**
- * An Object API whose lists and watches share one circuit breaker. While the store turns this VM
- * away, each of its feeds would ask again several times a second, which helps nobody and keeps a
- * store busy that is in trouble; so one call tries it for all of them. Thread-safe.
+ * Wraps an Object API so that its lists and watches share one circuit breaker. Without it, each
+ * feed of this VM would retry several times a second while the store rejects the VM's calls, which
+ * only adds load to a store that already has a problem. With it, one probe call is made for all
+ * feeds. Reads and writes of single objects pass unchanged. Thread-safe.
  */
 public final class GuardedObjectApi implements ObjectApi {
   /**
-   * Failures in a row, of all feeds together, from which calls are held back: two of each, since
-   * connections may end together while the store is sound.
+   * Consecutive failures, of all feeds together, that open the breaker: two per feed, since the
+   * connections of all feeds may end together while the store is available.
    */
   private static final int FAILURES = 6;
 
-  /** Between two calls that try the store; what changed meanwhile is heard of so much later. */
+  /**
+   * Interval between probe calls while the breaker is open. A change in that time is received up to
+   * this much later.
+   */
   static final long TRY_EVERY_MS = 300;
 
   private final ObjectApi api;
   private final Breaker breaker;
 
-  /** A call that reads. */
+  /** A list or a watch. */
   private interface Call {
     Listing run();
   }
 
-  /** Creates a view that lets all calls through until some fail. */
+  /** Creates a wrapper whose breaker is closed. */
   public GuardedObjectApi(ObjectApi api, Ticker ticker) {
     this.api = api;
     this.breaker = new Breaker(ticker, FAILURES, TRY_EVERY_MS);
@@ -50,7 +54,8 @@
   private Listing guarded(Call call) {
     if (!breaker.allows()) {
       throw new PlatformException(
-          PlatformException.Reason.UNAVAILABLE, "held back while the store answers no call");
+          PlatformException.Reason.UNAVAILABLE,
+          "call not sent: the circuit breaker is open, since the last calls to the store failed");
     }
     try {
       Listing listing = call.run();
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/HttpObjectApi.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/HttpObjectApi.java
@@ -37,8 +37,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The Object API over HTTP and JSON. Each call passes the call budget and the breaker first; one
- * that they hold back was not sent and had no effect.
+ * Client of the Object API over HTTP and JSON. Each call needs the permission of the circuit
+ * breaker and the call budget first; a call that they reject is not sent and has no effect.
+ * Thread-safe.
  */
 public final class HttpObjectApi implements ObjectApi {
   private static final Logger log = LoggerFactory.getLogger("store");
@@ -58,7 +59,7 @@
   private final CallBudget writes;
   private final Breaker breaker;
 
-  /** Creates a client with its own share of the platform's rates. */
+  /** Creates a client with the given shares of the platform's rate limits. */
   public HttpObjectApi(
       String baseUrl, Ticker ticker, double readsPerSecond, double writesPerSecond) {
     this.base = HttpUrl.get(baseUrl);
@@ -72,7 +73,7 @@
     this.breaker = new Breaker(ticker, 5, 1_000);
   }
 
-  /** Returns true while the platform answers. */
+  /** Returns true while the circuit breaker is closed, that is, while the platform answers. */
   public boolean reachable() {
     return !breaker.isOpen();
   }
@@ -127,7 +128,9 @@
       return call(request, CALL_TIMEOUT_MS);
     } catch (IOException e) {
       breaker.failed();
-      throw new PlatformException(Reason.OUTCOME_UNKNOWN, "no answer to a write: " + e);
+      throw new PlatformException(
+          Reason.OUTCOME_UNKNOWN,
+          "the platform did not answer a write, which may have taken effect: " + e);
     }
   }
 
@@ -137,11 +140,14 @@
       return callRead(new Request.Builder().url(url).build(), timeoutMs);
     } catch (IOException e) {
       breaker.failed();
-      throw new PlatformException(Reason.UNAVAILABLE, "no answer: " + e);
+      throw new PlatformException(Reason.UNAVAILABLE, "the platform did not answer a read: " + e);
     }
   }
 
-  /** A read changes nothing, so it goes out once more if its kept connection had been closed. */
+  /**
+   * Sends a read. A read has no effect, so it is sent once more if its pooled connection had been
+   * closed by the platform.
+   */
   private Reply callRead(Request request, long timeoutMs) throws IOException {
     try {
       return call(request, timeoutMs);
@@ -149,7 +155,9 @@
       if (!isClosedConnection(e)) {
         throw e;
       }
-      log.info("A read is repeated, since its connection was closed: {}.", e.toString());
+      log.info(
+          "Repeating a read on a new connection, since the pooled connection was closed: {}.",
+          e.toString());
       client.connectionPool().evictAll();
       return call(request, timeoutMs);
     }
@@ -162,10 +170,13 @@
 
   private void admit(CallClass callClass, CallBudget budget) {
     if (!breaker.allows()) {
-      throw new PlatformException(Reason.UNAVAILABLE, "the platform does not answer");
+      throw new PlatformException(
+          Reason.UNAVAILABLE,
+          "call not sent: the circuit breaker is open, since the platform does not answer");
     }
     if (!budget.tryTake(callClass)) {
-      throw new PlatformException(Reason.UNAVAILABLE, "the call budget is used up");
+      throw new PlatformException(
+          Reason.UNAVAILABLE, "call not sent: the call rate limit of this process is used up");
     }
   }
 
@@ -183,19 +194,24 @@
       int status = response.code();
       if (status == TOO_MANY || status == UNAVAILABLE) {
         breaker.failed();
-        throw new PlatformException(Reason.UNAVAILABLE, "the platform answered " + status);
+        throw new PlatformException(
+            Reason.UNAVAILABLE, "the platform answered with status " + status);
       }
       breaker.succeeded();
       JsonNode body = Json.LENIENT.readTree(text.isEmpty() ? "{}" : text);
       if (status == CONFLICT) {
         throw new PlatformException(
-            Reason.CONFLICT, "another version is current", body.path("version").asLong(-1));
+            Reason.CONFLICT,
+            "the object's current version is not the expected one",
+            body.path("version").asLong(-1));
       }
       if (status == GONE) {
-        throw new PlatformException(Reason.TOO_OLD, "the changes since then are gone");
+        throw new PlatformException(
+            Reason.TOO_OLD,
+            "the platform no longer keeps the changes after the requested revision");
       }
       if (!response.isSuccessful() && status != NOT_FOUND) {
-        throw new IOException("the platform answered " + status);
+        throw new IOException("the platform answered with status " + status);
       }
       return new Reply(status, body);
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/HttpVmList.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/HttpVmList.java
@@ -26,7 +26,7 @@
 import org.landingtrack.internal.base.Json;
 import org.landingtrack.internal.platform.PlatformException.Reason;
 
-/** The VM list over HTTP. Thread-safe. */
+/** Reads the platform's VM list over HTTP. Thread-safe. */
 public final class HttpVmList implements VmList {
   private static final long TIMEOUT_MS = 2_000;
 
@@ -42,7 +42,8 @@
   public List<Vm> vms() {
     try (Response response = client.newCall(new Request.Builder().url(url).build()).execute()) {
       if (!response.isSuccessful()) {
-        throw new PlatformException(Reason.UNAVAILABLE, "the VM list answered " + response.code());
+        throw new PlatformException(
+            Reason.UNAVAILABLE, "the VM list answered with status " + response.code());
       }
       List<Vm> vms = new ArrayList<>();
       for (JsonNode node : Json.LENIENT.readTree(response.body().string()).path("vms")) {
@@ -57,7 +58,7 @@
       }
       return vms;
     } catch (IOException e) {
-      throw new PlatformException(Reason.UNAVAILABLE, "the VM list does not answer: " + e);
+      throw new PlatformException(Reason.UNAVAILABLE, "the VM list did not answer: " + e);
     }
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/ObjectApi.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/ObjectApi.java
@@ -19,13 +19,14 @@
 import java.util.Optional;
 
 /**
- * The platform's Object API: versions, conditional updates and watches. Calls block until the
- * answer or the call's own deadline. Implementations are thread-safe.
+ * The platform's Object API: a key-value store with versions, conditional updates and watches.
+ * Calls block until the answer arrives or the call's own deadline is over. Implementations are
+ * thread-safe.
  *
  * <p>Every method may throw {@link PlatformException}.
  */
 public interface ObjectApi {
-  /** Class of a call; under pressure the lower ones wait first. */
+  /** Priority class of a call; when the call budget runs short, the lower classes wait first. */
   enum CallClass {
     LEASE(0),
     CONFIGURATION(0.1),
@@ -38,31 +39,37 @@
       this.reserve = reserve;
     }
 
-    /** Returns the share of the budget that calls of this class leave to the classes above. */
+    /** Returns the share of the call budget that this class leaves to higher classes, 0 to 1. */
     double reserve() {
       return reserve;
     }
   }
 
-  /** Expected version for a create: there must be no such object. */
+  /** Expected version of a write that creates an object: the object must not exist. */
   long ABSENT = 0;
 
   /**
-   * Returns how many times the store is known to have come back from an older copy of itself. What
-   * it had acknowledged shortly before is gone then; revisions rise nevertheless.
+   * Returns how many times the store is known to have rolled back, that is, come back with an older
+   * copy of its data. Writes that it acknowledged shortly before are lost then; revisions still
+   * increase.
    */
   default long generation() {
     return 0;
   }
 
-  /** Reads one object. */
+  /** Reads one object; empty if it does not exist. */
   Optional<StoredObject> read(CallClass callClass, String key);
 
-  /** Lists objects by key, {@code limit} at most, after a key. */
+  /**
+   * Lists the objects whose keys start with a prefix, in the order of their keys.
+   *
+   * @param after only keys after this one are listed; empty to start with the first
+   * @param limit the largest number of objects to return
+   */
   Listing list(CallClass callClass, String prefix, String after, int limit);
 
   /**
-   * Writes if the object's version is still the expected one.
+   * Writes an object if its current version is the expected one.
    *
    * @throws PlatformException CONFLICT with the current version, or OUTCOME_UNKNOWN if the write
    *     may have taken effect
@@ -70,16 +77,17 @@
   StoredObject write(CallClass callClass, String key, String value, long expectedVersion);
 
   /**
-   * Waits for changes after a revision.
+   * Waits for changes of objects under a prefix after a revision, at most {@code waitMs}. Returns
+   * no objects if there was no change.
    *
-   * @throws PlatformException TOO_OLD if the changes since then are no longer kept
+   * @throws PlatformException TOO_OLD if the changes after the revision are no longer kept
    */
   Listing watch(CallClass callClass, String prefix, long afterRevision, long waitMs);
 
   /**
-   * A set of objects.
+   * Objects of a list or a watch.
    *
-   * @param revision the set is complete up to this revision
+   * @param revision all changes up to this revision are included
    */
   record Listing(long revision, List<StoredObject> objects) {
     public Listing {
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/ObjectFeed.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/ObjectFeed.java
@@ -24,23 +24,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows all objects under a prefix: lists them once, then watches. After any error it lists
- * again, since a watch that broke may wait on without hearing of changes that the store has
- * dropped. One thread each.
+ * Follows all objects under a prefix: lists them once, then watches for changes. Lists again after
+ * any error, since a repeated watch may wait without receiving changes that the store no longer
+ * keeps. Each feed runs on its own thread.
  */
 public final class ObjectFeed implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("store");
 
-  /** First and longest pause after errors; short, since bounds run while the store is away. */
+  /**
+   * First and longest backoff after errors. They are short, since time limits keep running while
+   * the store is unavailable.
+   */
   private static final long FIRST_PAUSE_MS = 50;
 
   private static final long MAX_PAUSE_MS = 400;
   private static final int ALL = Integer.MAX_VALUE;
 
   /**
-   * Failures in a row that are trouble of the store; one is also the end of a connection that was
-   * cut or silent while the store was sound. Told as its return, that let servers which had left
-   * get requests for up to 7.5 s, where 2 s are allowed.
+   * Consecutive failures that count as a store outage. A single failure may also come from a
+   * connection that was cut or silent while the store was available. When a single failure was
+   * reported as an outage and a recovery, servers that had left got requests for up to 7.5 s, where
+   * 2 s are allowed.
    */
   private static final int FAILURES_OF_TROUBLE = 2;
 
@@ -58,50 +62,51 @@
   private boolean moreMayFollow;
   private volatile boolean closed;
 
-  /** Hears of what the feed reads, on the feed's thread. */
+  /** Receives what the feed reads. Called on the feed's thread. */
   public interface Sink {
-    /** All objects under the prefix as they are now. */
+    /** Receives all objects under the prefix; replaces everything received before. */
     void replaced(Listing all);
 
     /**
-     * The store came back from an older copy of itself: what is read next lacks what it had
-     * acknowledged shortly before, until that is written again.
+     * Called when the store rolled back to an older copy of its data: the next list lacks writes
+     * that the store acknowledged shortly before, until they are written again.
      */
     default void rewound() {}
 
-    /** Objects that changed since; removed ones have no value. */
+    /** Receives the objects that changed since the last call; removed ones have no value. */
     void changed(Listing changes);
 
-    /** The store does not answer; what is known gets old. */
+    /** Called when a store outage begins: what was received becomes stale. */
     void lost();
 
-    /** The store answers again; what was missed has been read. */
+    /** Called when the store has recovered and all missed changes have been received. */
     void regained();
   }
 
   /**
-   * Creates a feed.
+   * Creates a feed that is not started.
    *
-   * @param waitMs how long a watch waits; a broken path is noticed after about so long
-   * @param gatherMs between changes and the next watch, so that one call reads what comes at once
+   * @param waitMs how long a watch waits; a broken path is detected after about this time
+   * @param delayAfterChangesMs delay between changes and the next watch, so that one call reads a
+   *     burst of changes
    */
   public ObjectFeed(
       ObjectApi api,
       String prefix,
       long waitMs,
-      LongSupplier gatherMs,
+      LongSupplier delayAfterChangesMs,
       RandomGenerator random,
       Sink sink) {
     this.api = api;
     this.prefix = prefix;
     this.waitMs = waitMs;
-    this.gatherMs = gatherMs;
+    this.gatherMs = delayAfterChangesMs;
     this.sink = sink;
     this.backoff = new Backoff(random, FIRST_PAUSE_MS, MAX_PAUSE_MS);
     this.thread = Duty.daemon("feed-" + prefix).newThread(this::run);
   }
 
-  /** Starts following. */
+  /** Starts the feed's thread. */
   public void start() {
     thread.start();
   }
@@ -112,7 +117,7 @@
     }
   }
 
-  /** Reads once and tells of trouble; returns how long to pause then. Visible for tests. */
+  /** Reads once and reports outages; returns the delay until the next read. Visible for tests. */
   long attempt() {
     try {
       moreMayFollow = false;
@@ -122,18 +127,20 @@
       return moreMayFollow ? gatherMs.getAsLong() : 0;
     } catch (PlatformException e) {
       if (e.reason() == PlatformException.Reason.TOO_OLD) {
-        log.info("The store's history of {} is gone; reads all.", prefix);
+        log.info(
+            "The store no longer keeps the changes of {} since the last read; listing all objects again.",
+            prefix);
         return 0;
       }
       noteSilence(e);
     } catch (RuntimeException e) {
-      // What the store holds can't be read; the next version of it may be readable.
-      log.error("The feed of {} failed and goes on: {}.", prefix, e.toString());
+      // An object in the store cannot be parsed; its next version may be readable.
+      log.error("The feed of {} failed and will retry: {}.", prefix, e.toString());
     }
     return backoff.nextMs();
   }
 
-  /** Reads once; after a failure all is read again. Visible for tests. */
+  /** Lists or watches once; lists again after a failure. Visible for tests. */
   void step() {
     long from = revision;
     revision = -1;
@@ -156,17 +163,20 @@
     }
   }
 
-  /** Its return counts as the end of trouble: entries may be missing until they are rewritten. */
-  private void noteGeneration(long read) {
-    if (generation >= 0 && read > generation) {
+  /**
+   * Detects a rollback of the store. A rollback is reported like an outage with its recovery, since
+   * entries may be missing until they are written again.
+   */
+  private void noteGeneration(long current) {
+    if (generation >= 0 && current > generation) {
       log.atWarn()
           .addKeyValue("prefix", prefix)
-          .addKeyValue("generation", read)
+          .addKeyValue("generation", current)
           .log("store came back from an older copy");
       lost = true;
       sink.rewound();
     }
-    generation = read;
+    generation = current;
   }
 
   private void noteAnswer() {
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/PlatformException.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/PlatformException.java
@@ -15,37 +15,38 @@
  */
 package org.landingtrack.internal.platform;
 
-/** A call to the platform that did not succeed. */
+/** Thrown when a call to the platform does not succeed. */
 public final class PlatformException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** What is known about the call. */
+  /** What is known about the effect of the call. */
   public enum Reason {
-    /** It had no effect: the platform is out, refuses, or the call was not even sent. */
+    /** No effect: the platform is unavailable, it rejected the call, or the call was not sent. */
     UNAVAILABLE,
-    /** A write may or may not have taken effect; read back before writing again. */
+    /** A write may or may not have taken effect; read the object before writing it again. */
     OUTCOME_UNKNOWN,
-    /** The object's version is another one. */
+    /** The object's current version is not the expected one. */
     CONFLICT,
-    /** The watch starts before the oldest change that is kept. */
+    /** The watch starts before the oldest change that the platform keeps. */
     TOO_OLD
   }
 
   private final Reason reason;
   private final long currentVersion;
 
+  /** Creates an exception without a current version. */
   public PlatformException(Reason reason, String message) {
     this(reason, message, -1);
   }
 
-  /** Creates a conflict with the version that is current. */
+  /** Creates an exception with the object's current version, or -1 if it is unknown. */
   public PlatformException(Reason reason, String message, long currentVersion) {
     super(message);
     this.reason = reason;
     this.currentVersion = currentVersion;
   }
 
-  /** Returns what is known about the call. */
+  /** Returns what is known about the effect of the call. */
   public Reason reason() {
     return reason;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/RelayedObjectApi.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/RelayedObjectApi.java
@@ -32,23 +32,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * An Object API that is read by way of a hub: what one VM of a data centre has read, the others
- * need not ask for. Without it each VM follows each kind itself, and the calls grow with the VMs
- * times the changes.
+ * Reads the Object API through a hub, a VM of the same data centre that reads the Object API itself
+ * and relays what it has read. Without hubs each VM follows each kind itself, and the number of
+ * calls grows with the number of VMs times the number of changes.
  *
- * <p>A hub says ten times a second how far it has read and how old that can be. While that is young
- * enough, a VM asks the hub, and only for changes; when the hub is silent, behind, or does not
- * answer, the VM asks the Object API as if there were no hub. So a change is heard of at most the
- * age that is allowed later than by a call of its own. What is read never goes back behind what
- * this process has read before. Thread-safe.
+ * <p>A hub reports ten times a second up to which revision it has read and how old that information
+ * may be. While the report is recent enough, a VM asks the hub, and only when there are changes.
+ * When the hub is silent, behind or does not answer, the VM asks the Object API directly. So a
+ * change is received at most the allowed age later than with direct calls. The revision that is
+ * read never falls behind one that this process has read before. Thread-safe.
  */
 public final class RelayedObjectApi implements ObjectApi {
   private static final Logger log = LoggerFactory.getLogger("store");
 
-  /** A hub asks anew so many times in the age that is allowed, so that an answer may be late. */
+  /** Watches of a hub within the allowed age, so that an answer may be late. */
   private static final int HUB_WATCHES = 3;
 
-  /** Between two questions to a hub whose news were ahead of its answer. */
+  /** Delay before a hub is asked again whose report was ahead of its answer. */
   private static final long AGAIN_MS = 50;
 
   private final DatedObjectApi api;
@@ -61,117 +61,128 @@
   private final Map<String, Long> readTo = new ConcurrentHashMap<>();
   private final Set<String> relayed = ConcurrentHashMap.newKeySet();
 
-  /** Asks hubs. Blocks for a bounded time; thread-safe. */
+  /** Asks hubs. Calls block for a bounded time. Implementations are thread-safe. */
   public interface HubClient {
-    /** Returns all objects of a kind, or empty if the hub does not say. */
+    /** Returns all objects of a kind; empty if the hub does not answer or does not have them. */
     Optional<Listing> all(String hub, String prefix);
 
-    /** Returns the changes after a revision, or empty if the hub does not say. */
+    /**
+     * Returns the changes after a revision; empty if the hub does not answer or no longer keeps
+     * them.
+     */
     Optional<Listing> since(String hub, String prefix, long revision);
   }
 
   /**
-   * Creates a view.
+   * Creates a wrapper that has read nothing yet.
    *
    * @param cache what this process has read
-   * @param board what hubs say
-   * @param isHub whether other VMs rely on this one, which then asks the Object API itself
-   * @param maxAgeMs how old a hub's word of a kind may be; 0 for kinds that are not relayed
+   * @param reports the latest reports of hubs
+   * @param client asks hubs
+   * @param isHub whether this VM is a hub for others, which asks the Object API directly
+   * @param maxAgeMs how old a hub's report about a kind may be; 0 for kinds that are not relayed
    */
   public RelayedObjectApi(
       DatedObjectApi api,
       FeedCache cache,
-      FeedNewsBoard board,
-      HubClient hubs,
+      FeedNewsBoard reports,
+      HubClient client,
       BooleanSupplier isHub,
       ToLongFunction<String> maxAgeMs,
       Ticker ticker) {
     this.api = api;
     this.cache = cache;
-    this.board = board;
-    this.hubs = hubs;
+    this.board = reports;
+    this.hubs = client;
     this.isHub = isHub;
     this.maxAgeMs = maxAgeMs;
     this.ticker = ticker;
-    board.onProof(api::note);
+    reports.onProof(api::note);
   }
 
-  /** Notes that other VMs rely on this one from now on, or no more. */
+  /** Ends waits for reports after this VM became a hub or stopped being one. */
   public void roleChanged() {
     board.wake();
   }
 
-  /** Returns by how much a change of a kind may have been heard of later than it was told. */
+  /** Returns the longest delay that a hub may add to a change of a kind; 0 if read directly. */
   public long lateMs(String prefix) {
     return relayed.contains(prefix) ? maxAgeMs.applyAsLong(prefix) : 0;
   }
 
-  /** Returns what this VM can say to those that rely on it: only what it was told itself. */
+  /**
+   * Returns reports for the VMs that use this one as their hub. Kinds that this VM itself reads
+   * through a hub, or whose information is older than allowed, are left out.
+   */
   public List<FeedNews> news(List<String> prefixes) {
-    List<FeedNews> news = new ArrayList<>();
+    List<FeedNews> reports = new ArrayList<>();
     for (String prefix : prefixes) {
       Optional<Position> position = cache.position(prefix);
       if (position.isEmpty() || relayed.contains(prefix)) {
         continue;
       }
       long revision = position.get().revision();
-      OptionalLong provenMs = api.provenMs(prefix, revision);
-      long ageMs = provenMs.isEmpty() ? Long.MAX_VALUE : ticker.millis() - provenMs.getAsLong();
+      OptionalLong unchangedMs = api.provenMs(prefix, revision);
+      long ageMs =
+          unchangedMs.isEmpty() ? Long.MAX_VALUE : ticker.millis() - unchangedMs.getAsLong();
       if (ageMs <= maxAgeMs.applyAsLong(prefix)) {
-        news.add(new FeedNews(prefix, revision, position.get().changedRevision(), ageMs));
+        reports.add(new FeedNews(prefix, revision, position.get().changedRevision(), ageMs));
       }
     }
-    return news;
+    return reports;
   }
 
   @Override
   public Listing list(CallClass callClass, String prefix, String after, int limit) {
-    Optional<Heard> heard = usable(prefix);
-    if (heard.isPresent()) {
-      Optional<Listing> all = hubs.all(heard.get().hub(), prefix);
+    Optional<Heard> report = usable(prefix);
+    if (report.isPresent()) {
+      Optional<Listing> all = hubs.all(report.get().hub(), prefix);
       if (all.isPresent() && all.get().revision() >= readTo.getOrDefault(prefix, 0L)) {
         return read(prefix, all.get(), true);
       }
-      board.distrust(heard.get().hub());
+      board.distrust(report.get().hub());
     }
     return read(prefix, api.list(callClass, prefix, after, limit), false);
   }
 
   @Override
   public Listing watch(CallClass callClass, String prefix, long afterRevision, long waitMs) {
-    long endMs = ticker.millis() + waitMs;
+    long deadlineMs = ticker.millis() + waitMs;
     while (true) {
-      Optional<Heard> heard = usable(prefix);
-      long leftMs = Math.max(1, endMs - ticker.millis());
-      if (heard.isEmpty()) {
-        return watchItself(callClass, prefix, afterRevision, leftMs);
+      Optional<Heard> report = usable(prefix);
+      long remainingMs = Math.max(1, deadlineMs - ticker.millis());
+      if (report.isEmpty()) {
+        return watchItself(callClass, prefix, afterRevision, remainingMs);
       }
-      if (heard.get().changedRevision() > afterRevision) {
-        Optional<Listing> changes = hubs.since(heard.get().hub(), prefix, afterRevision);
+      if (report.get().changedRevision() > afterRevision) {
+        Optional<Listing> changes = hubs.since(report.get().hub(), prefix, afterRevision);
         if (changes.isEmpty()) {
-          board.distrust(heard.get().hub());
+          board.distrust(report.get().hub());
           continue;
         }
         if (changes.get().revision() > afterRevision) {
           return read(prefix, changes.get(), true);
         }
-        if (leftMs <= AGAIN_MS) {
-          return watchItself(callClass, prefix, afterRevision, leftMs);
+        if (remainingMs <= AGAIN_MS) {
+          return watchItself(callClass, prefix, afterRevision, remainingMs);
         }
         pause(AGAIN_MS);
-      } else if (leftMs <= 1) {
+      } else if (remainingMs <= 1) {
         return read(prefix, new Listing(afterRevision, List.of()), true);
       } else {
-        await(prefix, afterRevision, Math.min(leftMs, untilOld(prefix, heard.get())));
+        await(prefix, afterRevision, Math.min(remainingMs, untilOld(prefix, report.get())));
       }
     }
   }
 
-  /** A hub asks often, so that what it says is young; another VM as seldom as it may. */
+  /**
+   * Watches the Object API directly. A hub uses short watches, so that its reports are recent;
+   * other VMs wait for the whole time.
+   */
   private Listing watchItself(CallClass callClass, String prefix, long afterRevision, long waitMs) {
-    long hubMs = maxAgeMs.applyAsLong(prefix) / HUB_WATCHES;
-    long shortMs = isHub.getAsBoolean() && hubMs > 0 ? Math.min(waitMs, hubMs) : waitMs;
-    Listing changes = api.watch(callClass, prefix, afterRevision, shortMs);
+    long hubWaitMs = maxAgeMs.applyAsLong(prefix) / HUB_WATCHES;
+    long watchMs = isHub.getAsBoolean() && hubWaitMs > 0 ? Math.min(waitMs, hubWaitMs) : waitMs;
+    Listing changes = api.watch(callClass, prefix, afterRevision, watchMs);
     if (changes.objects().isEmpty()) {
       cache.unchangedTo(prefix, changes.revision());
     }
@@ -192,8 +203,8 @@
     return maxMs <= 0 || isHub.getAsBoolean() ? Optional.empty() : board.latest(prefix, maxMs);
   }
 
-  private long untilOld(String prefix, Heard heard) {
-    return Math.max(1, heard.atMs() + maxAgeMs.applyAsLong(prefix) - ticker.millis());
+  private long untilOld(String prefix, Heard report) {
+    return Math.max(1, report.atMs() + maxAgeMs.applyAsLong(prefix) - ticker.millis());
   }
 
   private void await(String prefix, long afterRevision, long waitMs) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/Revision.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/Revision.java
@@ -16,29 +16,30 @@
 package org.landingtrack.internal.platform;
 
 /**
- * Revisions that rise for ever. A store that comes back from an older copy gives its revisions out
- * again; here the number of times that it did so stands before them, so that what is merged by the
- * greater revision needs to know nothing of it.
+ * Encodes revisions that always increase. A store that rolls back to an older copy of its data
+ * assigns the same revision numbers again. Here the high bits of a revision hold the generation,
+ * which counts the rollbacks, so that code that merges by the greater revision need not handle
+ * rollbacks.
  */
 public final class Revision {
   private static final int NUMBER_BITS = 47;
 
-  /** The largest generation that fits before a revision. */
+  /** The largest generation that fits into the high bits of a revision. */
   public static final long MAX_GENERATION = (1L << (Long.SIZE - 1 - NUMBER_BITS)) - 1;
 
   private Revision() {}
 
-  /** Returns the revision with a number of the store's in a generation of it. */
+  /** Returns the revision of a generation and the store's own number. */
   public static long of(long generation, long number) {
     return (generation << NUMBER_BITS) | number;
   }
 
-  /** Returns how many times the store had come back from an older copy. */
+  /** Returns how many times the store had rolled back when it assigned a revision. */
   public static long generation(long revision) {
     return revision >> NUMBER_BITS;
   }
 
-  /** Returns the store's own number. */
+  /** Returns the number that the store itself assigned, without the generation. */
   public static long number(long revision) {
     return revision & ((1L << NUMBER_BITS) - 1);
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/StoredObject.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/StoredObject.java
@@ -16,25 +16,25 @@
 package org.landingtrack.internal.platform;
 
 /**
- * One object of the Object API.
+ * An object of the Object API.
  *
- * @param version counts the changes of this object, from 1
+ * @param version number of changes of this object, from 1
  * @param revision position of the last change among all changes of the Object API
- * @param value the content, 1 MB at most; empty in a watch's answer if the object was removed
+ * @param value the content, at most 1 MB; empty in the answer of a watch if the object was removed
  */
 public record StoredObject(String key, long version, long revision, String value) {
 
-  /** Returns this object as a watch tells of its removal. */
+  /** Returns this object as a watch reports its removal: without a value. */
   public StoredObject removed() {
     return new StoredObject(key, version, revision, "");
   }
 
-  /** Returns true if a watch told that the object was removed. */
+  /** Returns true if this is the report of a removal. */
   public boolean isRemoved() {
     return value.isEmpty();
   }
 
-  /** Returns the key without its prefix. */
+  /** Returns the part of the key after the first slash. */
   public String name() {
     return key.substring(key.indexOf('/') + 1);
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/VmList.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/VmList.java
@@ -17,18 +17,18 @@
 
 import java.util.List;
 
-/** The platform's list of VMs. It lags, and it may not answer. */
+/** The platform's list of VMs. The list may be out of date, and reading it may fail. */
 @FunctionalInterface
 public interface VmList {
   /** Returns the listed VMs; throws {@link PlatformException} if there is no answer. */
   List<Vm> vms();
 
   /**
-   * One VM.
+   * A VM in the list.
    *
-   * @param role {@code entry} for our own VMs, {@code backend-server} for others
-   * @param address for an entry VM the controller's peer address, else the backend server's address
-   * @param leaving true if it was told to stop
+   * @param role {@code entry} for VMs of this system, {@code backend-server} for backend servers
+   * @param address the controller's peer address of an entry VM, or the backend server's address
+   * @param leaving true if the VM was told to stop
    */
   record Vm(
       String name,
--- a/landingtrack/src/test/java/org/landingtrack/internal/platform/DatedObjectApiTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/platform/DatedObjectApiTest.java
@@ -28,7 +28,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What is known of the time of a change, when it is read late. */
+/**
+ * Checks the earliest time that is assigned to a change when it is read late, for example after the
+ * process was suspended.
+ */
 public final class DatedObjectApiTest {
   private static final String PREFIX = "weights";
   private static final long WAIT_MS = 4_000;
@@ -38,18 +41,18 @@
   private Awake awake;
   private DatedObjectApi dated;
 
-  /** True if the process stands still while it waits for an answer. */
+  /** True if the process is suspended while it waits for an answer. */
   private boolean standsStill;
 
   private int changes;
 
-  /** What happens at the store while the next watch waits. */
+  /** Action on the store while a watch waits. */
   private Runnable duringWatch = () -> {};
 
-  /** How long an answer takes. */
+  /** Time from an answer being made to the process reading it. */
   private long answerMs;
 
-  /** What a list answers instead of what is there, or null. */
+  /** Answer of a list in place of the current objects, or null. */
   private @Nullable Listing lateAnswer;
 
   @BeforeMethod
@@ -66,8 +69,8 @@
   }
 
   private void run(long ms) {
-    for (long left = ms; left > 0; left -= 100) {
-      loop.advance(Math.min(100, left));
+    for (long remainingMs = ms; remainingMs > 0; remainingMs -= 100) {
+      loop.advance(Math.min(100, remainingMs));
       awake.tick();
     }
   }
@@ -112,62 +115,69 @@
     assertEquals(dated.madeAfterMs(PREFIX, revision), OptionalLong.of(sentMs));
   }
 
-  /** A watch is answered as soon as there is a change, and its answer is read soon after. */
+  /** A watch is answered as soon as there is a change, and the answer is read within a second. */
   @Test
   public void aChangeThatAWatchTellsOfIsDatedToTheSecond() {
-    long known = change();
+    long knownRevision = change();
     list();
     answerMs = 3_000;
     duringWatch = this::change;
-    watch(known);
-    assertEquals(dated.madeAfterMs(PREFIX, known + 1), OptionalLong.of(loop.millis() - READ_MS));
+    watch(knownRevision);
+    assertEquals(
+        dated.madeAfterMs(PREFIX, knownRevision + 1), OptionalLong.of(loop.millis() - READ_MS));
   }
 
-  /** The answer may have lain in the socket: the change came after the answer before it. */
+  /**
+   * The answer may have waited in the socket, so the change is only known to be later than the
+   * previous answer.
+   */
   @Test
   public void aChangeThatIsReadAfterStandingStillIsAsOldAsTheAnswerBefore() {
-    long known = change();
+    long knownRevision = change();
     list();
     run(1_000);
     long sentMs = loop.millis();
     answerMs = 3_000;
-    watch(known);
+    watch(knownRevision);
     long revision = change();
     standsStill = true;
-    watch(known);
+    watch(knownRevision);
     assertEquals(dated.madeAfterMs(PREFIX, revision), OptionalLong.of(sentMs + answerMs - READ_MS));
   }
 
-  /** It may have been told by the store at once, and have lain in the socket of a VM that stood. */
+  /**
+   * The store may have answered at once, and the answer may have waited in the socket of the
+   * suspended VM.
+   */
   @Test
   public void aWatchInVainThatIsReadAfterStandingStillProvesNoMoreThanThatItWasSent() {
-    long known = change();
+    long knownRevision = change();
     list();
     run(1_000);
     long sentMs = loop.millis();
     answerMs = WAIT_MS + 3_000;
     standsStill = true;
-    watch(known);
+    watch(knownRevision);
     long revision = change();
-    watch(known);
+    watch(knownRevision);
     assertEquals(dated.madeAfterMs(PREFIX, revision), OptionalLong.of(sentMs));
   }
 
-  /** A change that was there when the watch was sent is told at once, and may be old by then. */
+  /** A change made before the watch was sent is returned at once, and may be old by then. */
   @Test
   public void aChangeBeforeTheWatchIsNotDatedByIt() {
-    long known = change();
+    long knownRevision = change();
     long sentMs = loop.millis();
     list();
     run(1_000);
     long revision = change();
     run(7_000);
     answerMs = 50;
-    watch(known);
+    watch(knownRevision);
     assertEquals(dated.madeAfterMs(PREFIX, revision), OptionalLong.of(sentMs));
   }
 
-  /** An answer that was made later may be read first. */
+  /** Answers may be read in another order than they were made. */
   @Test
   public void anOlderAnswerMovesNothingBack() {
     change();
@@ -182,7 +192,7 @@
     assertEquals(dated.madeAfterMs(PREFIX, second + 1), OptionalLong.of(sentMs));
   }
 
-  /** Other prefixes' answers say nothing: a watch tells of its own changes only. */
+  /** Answers for other prefixes prove nothing: a watch returns changes of its own prefix only. */
   @Test
   public void eachPrefixIsDatedByItself() {
     list();
@@ -191,7 +201,7 @@
     assertEquals(dated.madeAfterMs("third", revision), OptionalLong.empty());
   }
 
-  /** The store behind, whose answers take their time. */
+  /** The wrapped store, with answers that are read late. */
   private final class SlowApi implements ObjectApi {
     @Override
     public Optional<StoredObject> read(CallClass callClass, String key) {
@@ -200,8 +210,8 @@
 
     @Override
     public Listing list(CallClass callClass, String prefix, String after, int limit) {
-      Listing late = lateAnswer;
-      Listing all = late == null ? store.list(callClass, prefix, after, limit) : late;
+      Listing delayed = lateAnswer;
+      Listing all = delayed == null ? store.list(callClass, prefix, after, limit) : delayed;
       answerComes();
       return all;
     }
--- a/landingtrack/src/test/java/org/landingtrack/internal/platform/FakeObjectApi.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/platform/FakeObjectApi.java
@@ -25,15 +25,18 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.landingtrack.internal.platform.PlatformException.Reason;
 
-/** An Object API in memory whose next calls can be made to fail. Thread-safe. */
+/**
+ * An Object API in memory that can simulate outages and failed writes. Watches return at once.
+ * Thread-safe.
+ */
 public final class FakeObjectApi implements ObjectApi {
-  /** What happens to the next write. */
+  /** Failure of a write. */
   public enum Fault {
-    /** Nothing is written and the caller knows it. */
+    /** The write has no effect, and the caller is told so. */
     OUT,
-    /** It takes effect, but the caller gets no answer. */
+    /** The write takes effect, but its outcome is unknown to the caller. */
     LOST_ANSWER,
-    /** Nothing is written, but the caller does not know it. */
+    /** The write has no effect, but its outcome is unknown to the caller. */
     LOST_CALL
   }
 
@@ -49,7 +52,7 @@
     return this;
   }
 
-  /** Switches an outage on or off. */
+  /** Starts or ends an outage, in which every call fails. */
   public void out(boolean isOut) {
     out = isOut;
   }
@@ -70,8 +73,8 @@
     checkUp();
     List<StoredObject> found = new ArrayList<>();
     for (Map.Entry<String, StoredObject> entry : objects.entrySet()) {
-      boolean fits = entry.getKey().startsWith(prefix) && entry.getKey().compareTo(after) > 0;
-      if (fits && found.size() < limit) {
+      boolean matches = entry.getKey().startsWith(prefix) && entry.getKey().compareTo(after) > 0;
+      if (matches && found.size() < limit) {
         found.add(entry.getValue());
       }
     }
@@ -87,7 +90,7 @@
       throw new PlatformException(Reason.UNAVAILABLE, "out");
     }
     if (fault == Fault.LOST_CALL) {
-      throw new PlatformException(Reason.OUTCOME_UNKNOWN, "no answer");
+      throw new PlatformException(Reason.OUTCOME_UNKNOWN, "simulated loss of the answer");
     }
     StoredObject known = objects.get(key);
     long current = known == null ? ABSENT : known.version();
@@ -98,7 +101,7 @@
     objects.put(key, written);
     writes.incrementAndGet();
     if (fault == Fault.LOST_ANSWER) {
-      throw new PlatformException(Reason.OUTCOME_UNKNOWN, "no answer");
+      throw new PlatformException(Reason.OUTCOME_UNKNOWN, "simulated loss of the answer");
     }
     return written;
   }
--- a/landingtrack/src/test/java/org/landingtrack/internal/platform/GuardedObjectApiTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/platform/GuardedObjectApiTest.java
@@ -31,11 +31,10 @@
 import org.testng.annotations.Test;
 
 /**
- * A store that turns VMs away is not asked by each feed of each of them over and over.
- *
- * <p>What users saw: the store turned 26 of 74 VMs away for 8 s; all VMs made 4,343 calls on that
- * day. Cause: each feed of a VM asked again by itself, some five times a second. Evidence: worked
- * out, 26 VMs with three feeds make 3,100 such calls in 8 s.
+ * Guards against too many retries to a store that rejects the calls of some VMs. The store rejected
+ * 26 of 74 VMs for 8 s, and all VMs made 4,343 calls on that day, since each feed of a VM retried
+ * by itself some five times a second. By calculation, 26 VMs with three feeds make 3,100 such calls
+ * in 8 s.
  */
 public final class GuardedObjectApiTest {
   private static final int FEEDS = 3;
@@ -45,7 +44,7 @@
   private CountingStore store = new CountingStore();
   private GuardedObjectApi guarded = new GuardedObjectApi(store, ticker);
 
-  /** A store that counts its reading calls. */
+  /** A store that counts its lists and watches and can make them fail. */
   private static final class CountingStore implements ObjectApi {
     private int calls;
     private Reason fault = null;
@@ -53,7 +52,7 @@
     private Listing answer() {
       calls++;
       if (fault != null) {
-        throw new PlatformException(fault, "turned away");
+        throw new PlatformException(fault, "simulated rejection");
       }
       return new Listing(1, List.of());
     }
@@ -75,7 +74,7 @@
 
     @Override
     public StoredObject write(CallClass callClass, String key, String value, long version) {
-      throw new PlatformException(Reason.UNAVAILABLE, "not written here");
+      throw new PlatformException(Reason.UNAVAILABLE, "writes are not part of this test");
     }
   }
 
@@ -98,7 +97,7 @@
     return feeds;
   }
 
-  /** Counts what is read. */
+  /** Counts the lists that a feed receives. */
   private record Counted(List<Integer> read) implements ObjectFeed.Sink {
     @Override
     public void replaced(Listing all) {
@@ -115,7 +114,10 @@
     public void regained() {}
   }
 
-  /** Plays feeds, each after its own pauses; returns how long until all have read. */
+  /**
+   * Runs feeds, each with its own backoff; returns the time in milliseconds until all have read, or
+   * {@code forMs} if they have not.
+   */
   private long play(List<ObjectFeed> feeds, long forMs, List<Integer> read) {
     long[] nextMs = new long[FEEDS];
     for (long ms = 0; ms < forMs; ms++) {
@@ -142,7 +144,7 @@
     store.fault = null;
     long tookMs = play(feeds, OUTAGE_MS, read);
     assertEquals(read.size(), FEEDS);
-    assertTrue(tookMs <= 1_000, "back after " + tookMs);
+    assertTrue(tookMs <= 1_000, "feeds read again only after ms: " + tookMs);
   }
 
   @Test
@@ -159,7 +161,7 @@
     assertEquals(store.calls, 8);
   }
 
-  /** That history is gone is an answer. */
+  /** TOO_OLD is an answer of an available store, so it does not open the breaker. */
   @Test
   public void otherAnswersHoldNothingBack() {
     store.fault = Reason.TOO_OLD;
--- a/landingtrack/src/test/java/org/landingtrack/internal/platform/HttpObjectApiTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/platform/HttpObjectApiTest.java
@@ -30,11 +30,12 @@
 import org.landingtrack.internal.platform.ObjectApi.CallClass;
 import org.testng.annotations.Test;
 
+/** Checks the HTTP client of the Object API against a server that closes its connections. */
 public final class HttpObjectApiTest {
   private static final String OBJECT =
       "{\"key\":\"a\",\"version\":1,\"revision\":1,\"value\":\"v\"}";
 
-  /** A server that promises to keep each connection and closes it at its second request. */
+  /** A server that leaves each connection open and closes it at the second request. */
   private static final class ForgetfulServer implements AutoCloseable {
     private final ServerSocket socket = new ServerSocket(0, 10, InetAddress.getByName("127.0.0.1"));
     private final AtomicInteger connections = new AtomicInteger();
@@ -81,7 +82,7 @@
     }
   }
 
-  /** A kept connection that the platform closes as it is used again is no outage. */
+  /** A pooled connection that the platform closes when it is used again is not an outage. */
   @Test
   public void aReadIsRepeatedOnANewConnection() throws IOException {
     try (ForgetfulServer server = new ForgetfulServer()) {
--- a/landingtrack/src/test/java/org/landingtrack/internal/platform/ObjectFeedTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/platform/ObjectFeedTest.java
@@ -26,6 +26,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/** Checks what a feed reads and which outages it reports. */
 public final class ObjectFeedTest {
   private FakeObjectApi api = new FakeObjectApi();
   private List<String> heard = new ArrayList<>();
@@ -78,7 +79,10 @@
     assertEquals(heard, List.of("all 1 at 1", "changed 1 at 2"));
   }
 
-  /** A store that cut a watch may have dropped its history: the same watch may hear nothing. */
+  /**
+   * A store that interrupted a watch may no longer keep the changes since then, so that the same
+   * watch would receive nothing.
+   */
   @Test
   public void readsAllAgainAfterABrokenWatch() {
     put("config/main", "1", ObjectApi.ABSENT);
@@ -92,10 +96,11 @@
   }
 
   /**
-   * A server that left without a word got requests for up to 7.5 s after its entry went. The VM's
-   * connection to the store had gone silent, while the store was sound; the first call on a new one
-   * was answered. The feed told of the store's return from trouble, after which a missing entry may
-   * only have lapsed. A store in trouble fails more than the one call whose connection was cut.
+   * Guards against a single failed call being reported as a store outage. The VM's connection to
+   * the store had gone silent while the store was available, and the first call on a new connection
+   * succeeded. The feed reported a recovery, after which a missing entry may merely have expired,
+   * so a server that left without notice got requests for up to 7.5 s after its entry was removed.
+   * In an outage, more calls fail than the one whose connection was cut.
    */
   @Test
   public void aCutConnectionIsNoTroubleOfTheStore() {
--- a/landingtrack/src/test/java/org/landingtrack/internal/platform/RelayedObjectApiTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/platform/RelayedObjectApiTest.java
@@ -36,14 +36,17 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A VM reads by way of a hub while that is as good as reading itself, and itself otherwise. */
+/**
+ * Checks that a VM reads through a hub while the hub's reports are recent enough, and reads the
+ * Object API directly otherwise.
+ */
 public final class RelayedObjectApiTest {
   private static final String KIND = "servers";
   private static final String HUB = "10.1.0.1:7580";
   private static final long MAX_AGE_MS = 2_400;
   private static final long WAIT_MS = 1;
 
-  /** What a datagram may take, and is taken to have taken. */
+  /** Maximum transit time of a datagram; the code assumes it for every datagram. */
   private static final long WAY_MS = 300;
 
   private static final long TICK_MS = 100;
@@ -61,15 +64,15 @@
     run(2_000);
   }
 
-  /** Time goes by while the VM runs. */
+  /** Advances the clock while the VM is running. */
   private void run(long ms) {
-    for (long left = ms; left > 0; left -= TICK_MS) {
-      ticker.pass(Math.min(TICK_MS, left));
+    for (long remainingMs = ms; remainingMs > 0; remainingMs -= TICK_MS) {
+      ticker.pass(Math.min(TICK_MS, remainingMs));
       vm.awake.tick();
     }
   }
 
-  /** An Object API that answers at once, in order, and counts the calls. */
+  /** An Object API that answers at once, in order, and counts calls. */
   private static final class Store implements ObjectApi {
     private final List<StoredObject> changes = new ArrayList<>();
     private int calls;
@@ -124,7 +127,7 @@
     }
   }
 
-  /** One VM that follows the kind, with its own clock of standing still. */
+  /** A VM that follows the kind, with its own detection of suspensions. */
   private final class Vm implements RelayedObjectApi.HubClient {
     final Awake awake = new Awake(ticker);
     final FeedCache cache = new FeedCache();
@@ -166,7 +169,7 @@
     @Nullable Vm hub;
     long revision = -1;
 
-    /** As a feed does: a list first and after each failure, then watches. */
+    /** Reads once like a feed: lists first and after each failure, and watches otherwise. */
     void step() {
       long from = revision;
       revision = -1;
@@ -177,7 +180,7 @@
         return;
       }
       Listing changes = api.watch(CallClass.CONFIGURATION, KIND, from, WAIT_MS);
-      assertTrue(changes.revision() >= from, "went back");
+      assertTrue(changes.revision() >= from, "the revision decreased");
       revision = changes.revision();
       if (!changes.objects().isEmpty()) {
         sink.changed(changes);
@@ -213,14 +216,14 @@
     vm.step();
     Vm hub = newHub();
     tell(hub);
-    int before = store.calls;
+    int callsBefore = store.calls;
     store.put("a", "2");
     store.put("b", "1");
     store.put("a", "");
     hub.step();
     tell(hub);
     vm.step();
-    assertEquals(store.calls, before + 1, "the hub's call alone");
+    assertEquals(store.calls, callsBefore + 1, "only the hub must call the store");
     assertEquals(vm.known, Map.of("b", "1"));
     assertEquals(vm.api.lateMs(KIND), MAX_AGE_MS);
   }
@@ -233,14 +236,14 @@
     store.put("a", "1");
     run(MAX_AGE_MS - WAY_MS);
     vm.step();
-    assertEquals(vm.known, Map.of(), "the word still counts");
+    assertEquals(vm.known, Map.of(), "the report is still recent enough");
     run(1);
     vm.step();
     assertEquals(vm.known, Map.of("a", "1"));
     assertEquals(vm.api.lateMs(KIND), 0);
   }
 
-  /** A hub that was cut from the store goes on speaking, but its word gets old. */
+  /** A hub without connection to the store goes on reporting, but its information gets old. */
   @Test
   public void aHubThatIsBehindIsLeftWhenItsWordIsOld() {
     vm.step();
@@ -264,10 +267,10 @@
     vm.reachesHub = false;
     vm.step();
     assertEquals(vm.known, Map.of("a", "1"));
-    int before = store.calls;
+    int callsBefore = store.calls;
     tell(hub);
     vm.step();
-    assertEquals(store.calls, before + 1, "the hub is not trusted yet");
+    assertEquals(store.calls, callsBefore + 1, "the hub must not be asked again yet");
   }
 
   @Test
@@ -282,7 +285,10 @@
     assertEquals(vm.known, Map.of());
   }
 
-  /** A hub whose watch was cut lists anew; its VMs need not, and hear of what went meanwhile. */
+  /**
+   * A hub whose watch failed lists again. Its VMs need not, and they receive what was removed in
+   * between.
+   */
   @Test
   public void aHubThatListsAnewTellsTheDifference() {
     store.put("a", "1");
@@ -295,9 +301,9 @@
     hub.revision = -1;
     hub.step();
     tell(hub);
-    int before = store.calls;
+    int callsBefore = store.calls;
     vm.step();
-    assertEquals(store.calls, before);
+    assertEquals(store.calls, callsBefore);
     assertEquals(vm.known, Map.of("b", "1", "c", "1"));
     assertEquals(vm.cache.all(KIND), hub.cache.all(KIND));
   }
@@ -315,7 +321,7 @@
     assertEquals(vm.known, Map.of("a", "1"));
   }
 
-  /** What lay in a socket while the VM stood still is of any age. */
+  /** A report that waited in a socket while the VM was suspended may be of any age. */
   @Test
   public void newsThatMayHaveLainInASocketDoNotCount() {
     vm.step();
@@ -329,7 +335,7 @@
     assertEquals(hub.known, Map.of());
   }
 
-  /** What a hub was told by another one is no word of its own. */
+  /** A hub does not report what it has read through another hub. */
   @Test
   public void aHubTellsOnlyWhatItReadItself() {
     vm.step();
@@ -342,14 +348,17 @@
     assertEquals(vm.api.news(List.of(KIND)), List.of());
   }
 
-  /** Bounds run from when a change was made: after the last word of the hub without it. */
+  /**
+   * Time limits are measured from the time of a change, which is after the hub's last report
+   * without it.
+   */
   @Test
   public void aChangeIsDatedByTheHubsLastWordWithoutIt() {
     vm.step();
     Vm hub = newHub();
     run(500);
     hub.step();
-    long saidMs = ticker.millis();
+    long reportedMs = ticker.millis();
     tell(hub);
     run(400);
     store.put("a", "1");
@@ -358,12 +367,17 @@
     vm.step();
     OptionalLong madeAfterMs = vm.dated.madeAfterMs(KIND, 1);
     assertTrue(madeAfterMs.isPresent());
-    assertTrue(madeAfterMs.getAsLong() <= saidMs, "later than the change can be");
-    assertTrue(madeAfterMs.getAsLong() >= saidMs - WAY_MS - 1_000, "far too early");
+    assertTrue(
+        madeAfterMs.getAsLong() <= reportedMs,
+        "the time must not be later than the last report without the change");
+    assertTrue(
+        madeAfterMs.getAsLong() >= reportedMs - WAY_MS - 1_000,
+        "the time is more than the transit and read delays too early");
   }
 
   /**
-   * Returns the first revision from one on whose state is what the VM knows; -1 if there is none.
+   * Returns the first revision, starting with {@code from}, whose state is what the VM knows; -1 if
+   * there is none.
    */
   private int shownRevision(int from) {
     for (int revision = from; revision <= store.changes.size(); revision++) {
@@ -384,10 +398,10 @@
   }
 
   /**
-   * Hubs are cut from the store, fall silent, do not answer and come back; news are lost; the VM's
-   * own calls work. Whatever comes, what the VM knows is what the store had at some moment of the
-   * allowed age or later, and never an older state after a newer one. A change that another one
-   * undoes need not be seen: a hub that lists anew does not see it either.
+   * Simulates hubs that lose their connection to the store, fall silent, do not answer and recover,
+   * and lost reports; the VM's direct calls work. At any time the VM must know a state of the store
+   * that is no older than the allowed age, and never an older state after a newer one. A change
+   * that another one reverts need not be seen: a hub that lists again does not see it either.
    */
   @Test(dataProvider = "seeds")
   public void aVmHearsOfEachChangeInTime(long seed) {
@@ -395,9 +409,9 @@
     vm.step();
     Vm hub = newHub();
     boolean hubReads = true;
-    boolean hubSpeaks = true;
+    boolean hubIsReporting = true;
     List<Long> madeAtMs = new ArrayList<>();
-    int shown = 0;
+    int matchedRevision = 0;
     for (int step = 0; step < 2_000; step++) {
       ticker.pass(50);
       vm.awake.tick();
@@ -408,21 +422,29 @@
       }
       if (random.nextInt(40) == 0) {
         hubReads = random.nextBoolean();
-        hubSpeaks = random.nextBoolean();
+        hubIsReporting = random.nextBoolean();
         vm.reachesHub = random.nextInt(4) > 0;
       }
       if (hubReads) {
         hub.revision = random.nextInt(30) == 0 ? -1 : hub.revision;
         hub.step();
       }
-      if (hubSpeaks && random.nextInt(10) > 0) {
+      if (hubIsReporting && random.nextInt(10) > 0) {
         tell(hub);
       }
       vm.step();
       long dueMs = ticker.millis() - MAX_AGE_MS;
-      int due = (int) madeAtMs.stream().filter(madeMs -> madeMs < dueMs).count();
-      shown = shownRevision(Math.max(due, shown));
-      assertTrue(shown >= 0, "step " + step + ": " + vm.known + ", revision " + due + " is due");
+      int dueRevision = (int) madeAtMs.stream().filter(madeMs -> madeMs < dueMs).count();
+      matchedRevision = shownRevision(Math.max(dueRevision, matchedRevision));
+      assertTrue(
+          matchedRevision >= 0,
+          "step "
+              + step
+              + ": "
+              + vm.known
+              + " matches no state of the store from revision "
+              + dueRevision
+              + " on");
     }
     assertTrue(store.calls < 4_000, "the store was asked " + store.calls + " times");
   }
