--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/BackendServer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/BackendServer.java
@@ -19,13 +19,13 @@
 import java.util.List;
 
 /**
- * A backend server of a service: a model engine's runner, a plain service's VM or a store VM.
+ * A backend server of a service: a VM that runs a model engine, a plain service or a store.
  *
  * @param service the service that it belongs to
  * @param address IP address and port, for example {@code 10.0.0.7:8000}
- * @param maxConcurrent requests that it runs at once
- * @param checksFences whether it refuses orders that carry an old fencing token
- * @param draining true to give it no new work
+ * @param maxConcurrent maximum number of requests that it runs at once
+ * @param checksFences whether it rejects orders with an outdated fencing token
+ * @param draining true if it must get no new requests
  */
 public record BackendServer(
     @JsonProperty(required = true) String service,
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/Catalog.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/Catalog.java
@@ -27,13 +27,15 @@
 import org.landingtrack.internal.catalog.Spec.Reference;
 
 /**
- * One revision of the whole configuration, with the rules that bind its objects. Immutable.
+ * A snapshot of the whole configuration at one revision, with lookups and the checks for changes.
+ * Immutable.
  *
- * <p>Lookups tolerate references to objects that are gone: two operators may race, so a reader must
- * not rely on the check at the time of writing. Such an object simply has no effect.
+ * <p>Lookups tolerate references to deleted objects: changes by two operators may race, so a reader
+ * must not rely on the checks at the time of writing. An object with such a reference has no
+ * effect.
  */
 public final class Catalog {
-  /** The catalog before anything is known. */
+  /** The catalog without objects, in force until a configuration is received. */
   public static final Catalog EMPTY = new Catalog(0, emptyMaps());
 
   private final long revision;
@@ -61,10 +63,10 @@
     return maps;
   }
 
-  /** One changed object; a null spec removes it. */
+  /** A changed object; an empty spec removes it. */
   public record Update(Kind kind, String name, Optional<Spec> spec) {}
 
-  /** Returns the catalog after some updates. */
+  /** Returns a copy of this catalog with some updates applied. */
   public Catalog with(long newRevision, List<Update> updates) {
     Map<Kind, Map<String, Spec>> next = new EnumMap<>(objects);
     Map<Kind, Map<String, Spec>> copied = new EnumMap<>(Kind.class);
@@ -122,7 +124,7 @@
     return map == null ? Map.of() : map;
   }
 
-  /** Returns the number of objects. */
+  /** Returns the number of objects of all kinds. */
   public int size() {
     int size = 0;
     for (Map<String, Spec> map : objects.values()) {
@@ -131,7 +133,7 @@
     return size;
   }
 
-  /** Finds an object. */
+  /** Finds an object by kind and name. */
   public Optional<Spec> find(Kind kind, String name) {
     return Optional.ofNullable(ofKind(kind).get(name));
   }
@@ -141,7 +143,7 @@
     return find(kind, name).map(type::cast);
   }
 
-  /** Finds the team that a caller's key belongs to, by the SHA-256 of the key in hex. */
+  /** Finds the name of the team that owns an API key, by the SHA-256 of the key in hex. */
   public Optional<String> teamOfKey(String keySha256) {
     return Optional.ofNullable(teamByKey.get(keySha256));
   }
@@ -156,7 +158,11 @@
     return serversByService.getOrDefault(service, List.of());
   }
 
-  /** Checks that an object may be written; throws with what breaks a rule. */
+  /**
+   * Checks that an object may be written: its values, its references and its uniqueness.
+   *
+   * @throws LandingtrackException BAD_REQUEST with the reason if it may not
+   */
   public void checkWrite(Kind kind, String name, Spec spec) {
     try {
       Checks.name("name", name);
@@ -183,13 +189,18 @@
       return;
     }
     for (Map.Entry<String, Spec> other : ofKind(Kind.RULE).entrySet()) {
-      Rule known = (Rule) other.getValue();
-      boolean sameSubject =
-          known.team().equals(rule.team()) && known.service().equals(rule.service());
-      if (sameSubject && !other.getKey().equals(name)) {
+      Rule otherRule = (Rule) other.getValue();
+      boolean sameTeamAndService =
+          otherRule.team().equals(rule.team()) && otherRule.service().equals(rule.service());
+      if (sameTeamAndService && !other.getKey().equals(name)) {
         throw new LandingtrackException(
             ErrorKind.BAD_REQUEST,
-            kind.label() + "/" + name + ": rule/" + other.getKey() + " already binds them");
+            kind.label()
+                + "/"
+                + name
+                + ": rule/"
+                + other.getKey()
+                + " already exists for this team and service");
       }
     }
   }
@@ -199,12 +210,17 @@
       String owner = teamByKey.get(hash);
       if (owner != null && !owner.equals(name)) {
         throw new LandingtrackException(
-            ErrorKind.BAD_REQUEST, "team/" + name + ": a key of it belongs to another team");
+            ErrorKind.BAD_REQUEST,
+            "team/" + name + ": a key in keySha256 already belongs to another team");
       }
     }
   }
 
-  /** Checks that an object may be deleted; throws IN_USE naming an object that needs it. */
+  /**
+   * Checks that an object may be deleted.
+   *
+   * @throws LandingtrackException IN_USE with the name of an object that refers to it
+   */
   public void checkDelete(Kind kind, String name) {
     Reference target = new Reference(kind, name);
     for (Map.Entry<Kind, Map<String, Spec>> group : objects.entrySet()) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/Checks.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/Checks.java
@@ -17,7 +17,10 @@
 
 import java.util.regex.Pattern;
 
-/** Checks that fail early and name the bad value. */
+/**
+ * Checks of single values in specs. A failed check throws {@link IllegalArgumentException} with the
+ * key, the allowed values and the value.
+ */
 final class Checks {
   private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,62}");
 
@@ -26,7 +29,10 @@
   static void name(String key, String value) {
     if (!NAME.matcher(value).matches()) {
       throw new IllegalArgumentException(
-          key + " must be 1 to 63 of a-z, 0-9 and hyphen, not '" + value + "'");
+          key
+              + " must be 1 to 63 characters of a-z, 0-9 and hyphen, the first not a hyphen; it is '"
+              + value
+              + "'");
     }
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/Kind.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/Kind.java
@@ -18,7 +18,7 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Kinds of configuration objects. */
+/** The kinds of configuration objects. */
 public enum Kind {
   TEAM(Team.class),
   SERVICE(Service.class),
@@ -33,17 +33,17 @@
     this.specType = specType;
   }
 
-  /** Returns the record that holds the content of this kind. */
+  /** Returns the record type of the specs of this kind. */
   public Class<? extends Spec> specType() {
     return specType;
   }
 
-  /** Returns the name on the wire, for example {@code weight-version}. */
+  /** Returns the name in keys, requests and messages, for example {@code weight-version}. */
   public String label() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  /** Finds a kind by its name on the wire. */
+  /** Finds a kind by its name in keys, requests and messages. */
   public static Optional<Kind> ofLabel(String label) {
     for (Kind kind : values()) {
       if (kind.label().equals(label)) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/Model.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/Model.java
@@ -19,10 +19,10 @@
 import java.util.List;
 
 /**
- * A model.
+ * A model, with its context length and the size of its KV cache.
  *
- * @param contextTokens longest prompt and answer together, in tokens
- * @param kvBytesPerToken size of the kept state of one token, in bytes
+ * @param contextTokens maximum length of prompt and answer together, in tokens
+ * @param kvBytesPerToken size of the KV cache of one token, in bytes
  */
 public record Model(
     @JsonProperty(required = true) int contextTokens,
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/Rule.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/Rule.java
@@ -19,9 +19,9 @@
 import java.util.List;
 
 /**
- * A rule that lets a team use a service. Without one the service does not exist for the team.
+ * Grants a team the use of a service. For a team without such a rule the service does not exist.
  *
- * @param maxPriority the highest priority that the team may ask for, 0 to 9
+ * @param maxPriority the highest priority that the team may request, 0 to 9
  */
 public record Rule(
     @JsonProperty(required = true) String team,
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/Service.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/Service.java
@@ -22,16 +22,16 @@
 /**
  * A service that callers name in their requests.
  *
- * @param type {@code model} (chat completions), {@code plain} (HTTP calls) or {@code store} (kept
+ * @param type {@code model} (chat completions), {@code plain} (HTTP calls) or {@code store} (stored
  *     KV state; not for callers)
- * @param weightVersion the version that new requests use; only for type model
- * @param weightTtft weight of a millisecond of time to first token in the routing cost
- * @param weightRecompute weight of a recomputed token
- * @param weightLink weight of a megabyte moved over a link
- * @param linkBytesPerSecond budget for restores and exports of this service in a data centre
- * @param maxQueue requests that may wait in a gateway
- * @param retryPercent retries allowed, in percent of the requests
- * @param store the service of type store that keeps this service's KV state; empty for none
+ * @param weightVersion the version of the weights for new requests; only for type model
+ * @param weightTtft weight in the routing cost of one millisecond of time to first token
+ * @param weightRecompute weight in the routing cost of one recomputed token
+ * @param weightLink weight in the routing cost of one megabyte sent over a link
+ * @param linkBytesPerSecond rate limit for restores and exports of this service in a data centre
+ * @param maxQueue maximum number of requests that wait in one gateway
+ * @param retryPercent retry budget, in percent of the requests
+ * @param store the service of type store that holds this service's KV state; null for none
  */
 public record Service(
     @JsonProperty(required = true) String type,
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/Spec.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/Spec.java
@@ -17,16 +17,20 @@
 
 import java.util.List;
 
-/** Content of a configuration object. Implementations are immutable. */
+/** The content of a configuration object. Implementations are immutable. */
 public sealed interface Spec permits Team, Service, Model, WeightVersion, BackendServer, Rule {
 
-  /** Checks the object by itself; throws {@link IllegalArgumentException} naming the bad value. */
+  /**
+   * Checks the values of this spec, without other objects.
+   *
+   * @throws IllegalArgumentException with the key and the value that is not allowed
+   */
   void check();
 
-  /** Returns the objects that this one needs. */
+  /** Returns the objects that must exist for this one. */
   List<Reference> references();
 
-  /** A reference to another object. */
+  /** A reference to another object by kind and name. */
   record Reference(Kind kind, String name) {
     @Override
     public String toString() {
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/StoredEntry.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/StoredEntry.java
@@ -22,22 +22,25 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the Object API holds for one configuration object: its content and its audit trail. Both are
- * written by the same conditional update, so that neither exists without the other.
+ * The value that the Object API holds for one configuration object: its content and its audit
+ * trail. Both are written by the same conditional update, so that neither exists without the other.
  *
  * @param spec content; null once the object is deleted
- * @param audit the last changes, oldest first, as {@link #withChange} bounds them
+ * @param audit the last changes, oldest first, limited as in {@link #withChange}
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 public record StoredEntry(
     Kind kind, String name, long version, @Nullable JsonNode spec, List<Change> audit) {
-  /** Changes kept with an object; older ones are dropped when a new one is written. */
+  /** Maximum number of changes in an entry; a new change drops the oldest ones. */
   public static final int MAX_AUDIT = 200;
 
-  /** Characters of contents that the changes may hold; the platform's values end at 1 MB. */
+  /**
+   * Maximum number of characters of the contents in the changes; a value of the platform is at most
+   * 1 MB.
+   */
   static final int MAX_AUDIT_CHARS = 200_000;
 
-  /** One change. Times are milliseconds since the Unix epoch. */
+  /** A change in the audit trail. Times are milliseconds since the Unix epoch. */
   @JsonInclude(JsonInclude.Include.NON_NULL)
   public record Change(
       String changeId,
@@ -62,26 +65,30 @@
     }
   }
 
-  /** Returns the entry after a change; the oldest changes are dropped beyond the bounds. */
+  /**
+   * Returns the entry after a change. Drops the oldest changes beyond the limits; the new change
+   * always stays.
+   */
   public StoredEntry withChange(Change change) {
-    List<Change> kept = new ArrayList<>(audit);
-    kept.add(change);
+    List<Change> changes = new ArrayList<>(audit);
+    changes.add(change);
     long chars = 0;
-    int from = kept.size();
-    while (from > 0 && kept.size() - from < MAX_AUDIT) {
-      chars += kept.get(from - 1).chars();
-      if (chars > MAX_AUDIT_CHARS && from < kept.size()) {
+    int from = changes.size();
+    while (from > 0 && changes.size() - from < MAX_AUDIT) {
+      chars += changes.get(from - 1).chars();
+      if (chars > MAX_AUDIT_CHARS && from < changes.size()) {
         break;
       }
       from--;
     }
     return new StoredEntry(
-        kind, name, change.version(), change.after(), kept.subList(from, kept.size()));
+        kind, name, change.version(), change.after(), changes.subList(from, changes.size()));
   }
 
   /**
-   * Returns what replicas hold: the content and, without contents, the last change. The whole trail
-   * stays in the Object API; it would be many times the content, on every node and every link.
+   * Returns the entry for replicas: the content, and the last change without its contents. The
+   * whole audit trail stays in the Object API, since it would add many times the size of the
+   * content on every node and every link.
    */
   public StoredEntry forReplicas() {
     if (audit.isEmpty()) {
@@ -91,12 +98,12 @@
     return new StoredEntry(kind, name, version, spec, List.of(last.withoutContents()));
   }
 
-  /** Returns the key in the Object API. */
+  /** Returns the key of an object in the Object API. */
   public static String key(Kind kind, String name) {
     return "config/" + kind.label() + "/" + name;
   }
 
-  /** Returns true if one of the kept changes has this id. */
+  /** Returns true if the audit trail contains a change with this id. */
   public boolean holdsChange(String changeId) {
     for (Change change : audit) {
       if (change.changeId().equals(changeId)) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/Team.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/Team.java
@@ -19,13 +19,13 @@
 import java.util.List;
 
 /**
- * A team whose callers use the system.
+ * A team (a customer) whose callers send requests.
  *
- * @param keySha256 SHA-256 in hex of each key that its callers may show
- * @param requestsPerSecond sustained rate over all gateways
- * @param burst requests that may come at once
- * @param concurrency requests in flight over all gateways
- * @param weight share of a busy service relative to other teams
+ * @param keySha256 SHA-256 in hex of each API key of its callers
+ * @param requestsPerSecond sustained rate limit over all gateways
+ * @param burst requests that may arrive at once
+ * @param concurrency maximum number of requests in flight over all gateways
+ * @param weight share of an overloaded service, relative to other teams
  */
 public record Team(
     @JsonProperty(required = true) List<String> keySha256,
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/WeightVersion.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/WeightVersion.java
@@ -22,7 +22,7 @@
  * A version of a model's weights.
  *
  * @param model the model's name
- * @param source where engines find the weights in the weight store
+ * @param source location of the weights in the weight store
  */
 public record WeightVersion(
     @JsonProperty(required = true) String model, @JsonProperty(required = true) String source)
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/package-info.java
@@ -1,3 +1,3 @@
-/** The objects that operators manage and the rules that bind them. */
+/** The configuration objects that operators manage, and the checks of their changes. */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.catalog;
--- a/landingtrack/src/main/java/org/landingtrack/internal/config/ConfigDelta.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/config/ConfigDelta.java
@@ -18,9 +18,9 @@
 import java.util.List;
 
 /**
- * Changes after some revision.
+ * The changes of the configuration after some revision.
  *
- * @param revision with these entries the receiver is complete up to this revision
+ * @param revision the revision up to which the receiver is complete after applying the entries
  */
 public record ConfigDelta(long revision, List<ConfigEntry> entries) {
   public ConfigDelta {
--- a/landingtrack/src/main/java/org/landingtrack/internal/config/ConfigEntry.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/config/ConfigEntry.java
@@ -16,9 +16,9 @@
 package org.landingtrack.internal.config;
 
 /**
- * One configuration object as it is passed between processes.
+ * A configuration object as it is sent between processes.
  *
- * @param revision position of its last change; a higher one always wins
- * @param value JSON of a {@code StoredEntry}, deleted objects included
+ * @param revision position of its last change; an entry with a higher revision replaces this one
+ * @param value JSON of a {@code StoredEntry}; also present for deleted objects
  */
 public record ConfigEntry(String key, long version, long revision, String value) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/config/ConfigFeed.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/config/ConfigFeed.java
@@ -41,10 +41,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps a controller's {@link ConfigReplica} fresh: watches the platform if the controller stands
- * first in the {@link RelayTree}, else pulls from its parent; and compares itself with a random
- * member every second. A new controller starts from its peers, so that a restart of many VMs does
- * not fall on the platform, and starts at all while the platform is out.
+ * Keeps a controller's {@link ConfigReplica} up to date. The controller watches the platform if it
+ * is one of the first in the {@link RelayTree}, and pulls from its parent otherwise. In addition,
+ * it compares its revision with that of a random member every second.
+ *
+ * <p>A new controller pulls from its peers first, so that a restart of many VMs does not overload
+ * the platform, and so that it can start during an outage of the platform.
  */
 public final class ConfigFeed implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("config");
@@ -66,6 +68,7 @@
   private long watchedRevision = -1;
   private volatile boolean closed;
 
+  /** Creates a feed that is not started. */
   public ConfigFeed(
       ObjectApi api,
       PeerClient peers,
@@ -82,7 +85,7 @@
     this.comparer = Duty.start("config-compare", 4);
   }
 
-  /** Starts feeding. */
+  /** Starts the threads that update and compare the replica. */
   public void start() {
     feeder.start();
     comparer.every(COMPARE_EVERY_MS, this::compare);
@@ -94,7 +97,7 @@
         feedOnce();
         backoff.reset();
       } catch (PlatformException | PeerException e) {
-        log.debug("No configuration now: {}.", e.getMessage());
+        log.debug("Could not update the configuration, will retry: {}.", e.getMessage());
         pause();
       }
     }
@@ -125,18 +128,18 @@
     watch();
   }
 
-  /** Returns the member that this one pulls from; empty if it watches the platform itself. */
+  /** Returns the member that this one pulls from; empty if it watches the platform. */
   public Optional<Member> parent() {
     Member self = membership.self();
-    List<Member> local = new ArrayList<>();
+    List<Member> sameDataCentre = new ArrayList<>();
     for (Member member : membership.usable()) {
       if (member.dataCentre().equals(self.dataCentre())) {
-        local.add(member);
+        sameDataCentre.add(member);
       }
     }
-    List<String> names = local.stream().map(Member::vm).toList();
+    List<String> names = sameDataCentre.stream().map(Member::vm).toList();
     Optional<String> parent = RelayTree.parent(self.vm(), self.dataCentre(), names);
-    return parent.flatMap(vm -> local.stream().filter(m -> m.vm().equals(vm)).findFirst());
+    return parent.flatMap(vm -> sameDataCentre.stream().filter(m -> m.vm().equals(vm)).findFirst());
   }
 
   private void tryPeersFirst() {
@@ -147,7 +150,8 @@
           return;
         }
       } catch (PeerException e) {
-        log.debug("Peer {} has no configuration for us: {}.", member.vm(), e.getMessage());
+        log.debug(
+            "Could not pull the configuration from peer {}: {}.", member.vm(), e.getMessage());
       }
     }
   }
@@ -164,19 +168,22 @@
     ConfigAnswer answer =
         peers.call(address, request, ConfigAnswer.class, (int) waitMs + CALL_SLACK_MS);
     if (answer.complete() && replica.merge(Math.max(0, after), answer.delta())) {
-      log.info("Revision {} came from peer {}.", replica.revision(), address);
+      log.info("Received configuration revision {} from peer {}.", replica.revision(), address);
     }
   }
 
-  /** Lists page by page; the watch then starts where the first page was taken. */
+  /**
+   * Lists all entries page by page. The next watch starts at the revision of the first page, so
+   * that changes made during the listing are not missed.
+   */
   private void listAll() {
-    long start = -1;
+    long firstPageRevision = -1;
     String after = "";
     List<ConfigEntry> entries = new ArrayList<>();
     while (true) {
       Listing page = api.list(CallClass.CONFIGURATION, PREFIX, after, PAGE);
-      if (start < 0) {
-        start = page.revision();
+      if (firstPageRevision < 0) {
+        firstPageRevision = page.revision();
       }
       page.objects().forEach(object -> entries.add(entry(object)));
       if (page.objects().size() < PAGE) {
@@ -185,7 +192,7 @@
       after = page.objects().get(page.objects().size() - 1).key();
     }
     merge(entries);
-    watchedRevision = start;
+    watchedRevision = firstPageRevision;
   }
 
   private void watch() {
@@ -197,19 +204,23 @@
       if (e.reason() != PlatformException.Reason.TOO_OLD) {
         throw e;
       }
-      log.info("The watch fell behind; everything is listed again.");
+      log.info(
+          "The platform no longer keeps the changes since the last watch; listing all entries again.");
       watchedRevision = -1;
     }
   }
 
-  /** The revision of a copy is that of its newest entry, so that other writes do not move it. */
+  /**
+   * Merges entries into the replica. The replica's revision is that of its newest entry, so that
+   * writes to other objects of the platform do not change it.
+   */
   private void merge(List<ConfigEntry> entries) {
-    long newest = replica.revision();
+    long newestRevision = replica.revision();
     for (ConfigEntry entry : entries) {
-      newest = Math.max(newest, entry.revision());
+      newestRevision = Math.max(newestRevision, entry.revision());
     }
-    if (replica.merge(replica.revision(), new ConfigDelta(newest, entries))) {
-      log.info("Revision {} came from the platform.", replica.revision());
+    if (replica.merge(replica.revision(), new ConfigDelta(newestRevision, entries))) {
+      log.info("Received configuration revision {} from the platform.", replica.revision());
     }
   }
 
@@ -221,7 +232,7 @@
     try {
       return Json.write(Json.read(object.key(), object.value(), StoredEntry.class).forReplicas());
     } catch (LandingtrackException e) {
-      // A newer release may write what this one cannot read; the replica says so.
+      // A newer release may write entries that this one cannot read; the replica logs them.
       return object.value();
     }
   }
@@ -239,7 +250,10 @@
         pull(other.address(), 0);
       }
     } catch (PeerException e) {
-      log.debug("Member {} does not compare: {}.", other.vm(), e.getMessage());
+      log.debug(
+          "Could not compare the configuration revision with member {}: {}.",
+          other.vm(),
+          e.getMessage());
     }
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/config/ConfigReplica.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/config/ConfigReplica.java
@@ -32,11 +32,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This process's copy of the accepted configuration.
+ * Replica of the accepted configuration in this process.
  *
- * <p>An entry is only ever replaced by one with a higher revision, and the revision of the whole
- * never falls: merging is commutative and idempotent, so late, repeated or crossed deltas from any
- * peer cannot make the configuration revert. Thread-safe.
+ * <p>An entry is only replaced by one with a higher revision, and the revision of the replica never
+ * decreases. Merging is commutative and idempotent, so delayed, repeated or reordered deltas from
+ * any peer cannot revert the configuration. Thread-safe.
  */
 public final class ConfigReplica {
   private static final Logger log = LoggerFactory.getLogger("config");
@@ -46,12 +46,12 @@
   private volatile Catalog catalog = Catalog.EMPTY;
   private volatile boolean complete;
 
-  /** Returns the configuration in force here. */
+  /** Returns the configuration in force in this process. */
   public Catalog catalog() {
     return catalog;
   }
 
-  /** Returns the revision up to which this copy is complete. */
+  /** Returns the revision up to which this replica is complete. */
   public long revision() {
     return catalog.revision();
   }
@@ -62,8 +62,10 @@
   }
 
   /**
-   * Merges a delta that starts at or before this copy's revision.
+   * Merges a delta. A delta that starts after this replica's revision is ignored, since the changes
+   * in between would be missing.
    *
+   * @param afterRevision the revision after which the delta starts
    * @return true if anything changed
    */
   public synchronized boolean merge(long afterRevision, ConfigDelta delta) {
@@ -106,8 +108,12 @@
       return Optional.of(
           new Catalog.Update(stored.kind(), stored.name(), decodeSpec(stored.kind(), stored)));
     } catch (LandingtrackException e) {
-      // A newer release may write what this one cannot read; the old content stays in force.
-      log.warn("Entry {} cannot be read: {}.", entry.key(), e.getMessage());
+      // A newer release may write entries that this one cannot read; the old content stays in
+      // force.
+      log.warn(
+          "Entry {} cannot be read; its previous content stays in force: {}.",
+          entry.key(),
+          e.getMessage());
       return Optional.empty();
     }
   }
@@ -120,7 +126,7 @@
     return Optional.of(Json.read(stored.name(), spec.toString(), kind.specType()));
   }
 
-  /** Returns what changed after a revision. */
+  /** Returns the entries that changed after a revision. */
   public synchronized ConfigDelta deltaAfter(long afterRevision) {
     List<ConfigEntry> changed = new ArrayList<>();
     for (String key : keyByRevision.tailMap(afterRevision, false).values()) {
@@ -132,26 +138,29 @@
     return new ConfigDelta(revision(), changed);
   }
 
-  /** Waits until this copy is newer than a revision, or the time is over. */
+  /**
+   * Waits until this replica is complete and newer than a revision, or {@code waitMs} are over, and
+   * returns the entries that changed after that revision.
+   */
   public synchronized ConfigDelta awaitDeltaAfter(long afterRevision, long waitMs)
       throws InterruptedException {
-    long end = System.nanoTime() + waitMs * 1_000_000;
+    long endNanos = System.nanoTime() + waitMs * 1_000_000;
     while (revision() <= afterRevision || !complete) {
-      long leftMs = (end - System.nanoTime()) / 1_000_000;
-      if (leftMs <= 0) {
+      long remainingMs = (endNanos - System.nanoTime()) / 1_000_000;
+      if (remainingMs <= 0) {
         break;
       }
-      wait(leftMs);
+      wait(remainingMs);
     }
     return deltaAfter(afterRevision);
   }
 
-  /** Finds the entry of an object, deleted ones included. */
+  /** Finds the entry of an object; deleted objects have an entry, too. */
   public synchronized Optional<ConfigEntry> entry(Kind kind, String name) {
     return Optional.ofNullable(entries.get(StoredEntry.key(kind, name)));
   }
 
-  /** Returns all entries, deleted ones included. */
+  /** Returns all entries, including those of deleted objects. */
   public synchronized List<ConfigEntry> entries() {
     return List.copyOf(entries.values());
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/config/RelayTree.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/config/RelayTree.java
@@ -20,23 +20,24 @@
 import org.landingtrack.internal.base.Hashes;
 
 /**
- * Who passes configuration to whom within a data centre. The first {@link #WATCHERS} members in
- * rendezvous order watch the platform; each later member pulls from a parent that stands before it.
+ * Computes the tree along which configuration is relayed within a data centre. The first {@link
+ * #WATCHERS} members in the order of rendezvous hashing watch the platform; each later member pulls
+ * from a parent that precedes it in this order.
  *
- * <p>No lease is needed: two members that both think they stand first merely both watch. Views may
- * differ for a while, and a parent may then be stale; the periodic comparison with a random member
- * repairs that.
+ * <p>No lease is needed: if too many members consider themselves first, they all watch the
+ * platform. Views of the membership may differ for a while, and a parent may then be stale; the
+ * periodic comparison with a random member corrects that.
  */
 public final class RelayTree {
-  /** Members of a data centre that watch the platform. */
+  /** Number of members in a data centre that watch the platform. */
   public static final int WATCHERS = 2;
 
-  /** Members that pull from one parent. */
+  /** Maximum number of members that pull from the same parent. */
   public static final int FAN_OUT = 4;
 
   private RelayTree() {}
 
-  /** Returns the parent of a member; empty if the member watches the platform itself. */
+  /** Returns the parent of a member; empty if the member watches the platform. */
   public static Optional<String> parent(String self, String dataCentre, List<String> members) {
     List<String> order = Hashes.rendezvous("config-relay/" + dataCentre, members, name -> name);
     int position = order.indexOf(self);
--- a/landingtrack/src/test/java/org/landingtrack/internal/catalog/CatalogTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/catalog/CatalogTest.java
@@ -27,6 +27,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Checks which writes and deletes a catalog rejects, and its lookups. */
 public final class CatalogTest {
   private static final Team TEAM = new Team(List.of(Hashes.sha256Hex("key")), 10, 10, 10, 1);
   private static final Service SERVICE =
@@ -68,7 +69,13 @@
   @DataProvider
   public Object[][] badWrites() {
     return new Object[][] {
-      {Kind.TEAM, "Bad Name", TEAM, "name must be 1 to 63 of a-z, 0-9 and hyphen, not 'Bad Name'"},
+      {
+        Kind.TEAM,
+        "Bad Name",
+        TEAM,
+        "name must be 1 to 63 characters of a-z, 0-9 and hyphen, the first not a hyphen; it is"
+            + " 'Bad Name'"
+      },
       {
         Kind.TEAM,
         "t",
@@ -81,8 +88,13 @@
         new Team(List.of(), 0, 1, 1, 1),
         "requestsPerSecond must be from 0.1 to" + " 100000, not 0"
       },
-      {Kind.TEAM, "other", TEAM, "a key of it belongs to another team"},
-      {Kind.RULE, "two", new Rule("quotes", "llm", 1), "rule/one already binds them"},
+      {Kind.TEAM, "other", TEAM, "a key in keySha256 already belongs to another team"},
+      {
+        Kind.RULE,
+        "two",
+        new Rule("quotes", "llm", 1),
+        "rule/one already exists for this team and service"
+      },
       {
         Kind.RULE,
         "two",
@@ -117,11 +129,11 @@
   }
 
   @Test(dataProvider = "badWrites")
-  public void refusesWhatBreaksARule(Kind kind, String name, Spec spec, String why) {
+  public void refusesWhatBreaksARule(Kind kind, String name, Spec spec, String reason) {
     LandingtrackException e =
         expectThrows(LandingtrackException.class, () -> CATALOG.checkWrite(kind, name, spec));
     assertEquals(e.kind(), ErrorKind.BAD_REQUEST);
-    assertEquals(e.getMessage().replaceFirst("^[a-z-]+/[^:]*: ", ""), why);
+    assertEquals(e.getMessage().replaceFirst("^[a-z-]+/[^:]*: ", ""), reason);
   }
 
   @DataProvider
@@ -144,9 +156,9 @@
 
   @Test
   public void toleratesReferencesToObjectsThatAreGone() {
-    Catalog raced =
+    Catalog afterDelete =
         CATALOG.with(2, List.of(new Catalog.Update(Kind.TEAM, "quotes", Optional.empty())));
-    assertEquals(raced.teamOfKey(Hashes.sha256Hex("key")), Optional.empty());
-    assertEquals(raced.servers("llm").size(), 1);
+    assertEquals(afterDelete.teamOfKey(Hashes.sha256Hex("key")), Optional.empty());
+    assertEquals(afterDelete.servers("llm").size(), 1);
   }
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/catalog/StoredEntryTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/catalog/StoredEntryTest.java
@@ -25,7 +25,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How long an object's trail is, in the platform and on the nodes. */
+/** Checks the size of an object's audit trail, in the platform and in replicas. */
 public final class StoredEntryTest {
   private static final int PLATFORM_VALUE_BYTES = 1_000_000;
 
@@ -42,7 +42,7 @@
   @DataProvider
   public Object[][] trails() {
     return new Object[][] {
-      // changes, characters of the content, changes kept
+      // changes, characters of the content, changes in the trail
       {0, 10, 0},
       {1, 10, 1},
       {150, 100, 150},
@@ -52,7 +52,7 @@
     };
   }
 
-  /** However large the contents are, the value fits the platform and the last change is kept. */
+  /** For contents of any size, the value fits the platform and the last change is kept. */
   @Test(dataProvider = "trails")
   public void theTrailIsBoundedByNumberAndSize(int changes, int chars, int kept) {
     StoredEntry entry = changed(changes, chars);
@@ -62,15 +62,15 @@
     assertTrue(Json.write(entry).length() < PLATFORM_VALUE_BYTES);
   }
 
-  /** A node holds every object; the trail must not come with it. */
+  /** A node holds every object, so replicas must not hold the whole trails. */
   @Test
   public void replicasHoldTheContentAndWhoChangedItLast() {
-    StoredEntry whole = changed(24, 500);
-    StoredEntry held = whole.forReplicas();
-    assertEquals(held.spec(), whole.spec());
-    assertEquals(held.version(), whole.version());
-    assertEquals(held.audit().size(), 1);
-    assertEquals(held.audit().get(0).changeId(), "c24");
-    assertTrue(Json.write(held).length() < 1_000, "characters: " + Json.write(held).length());
+    StoredEntry entry = changed(24, 500);
+    StoredEntry replica = entry.forReplicas();
+    assertEquals(replica.spec(), entry.spec());
+    assertEquals(replica.version(), entry.version());
+    assertEquals(replica.audit().size(), 1);
+    assertEquals(replica.audit().get(0).changeId(), "c24");
+    assertTrue(Json.write(replica).length() < 1_000, "characters: " + Json.write(replica).length());
   }
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/config/ConfigReplicaTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/config/ConfigReplicaTest.java
@@ -30,6 +30,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Checks that merging deltas in any order never reverts the configuration. */
 public final class ConfigReplicaTest {
   private static ConfigEntry entry(String name, long revision, int tokens) {
     var spec = Json.STRICT.valueToTree(new Model(tokens, 1));
@@ -49,25 +50,26 @@
     return new Object[][] {{1L}, {2L}, {3L}, {4L}, {5L}, {6L}, {7L}, {8L}};
   }
 
-  /** Late, repeated and crossed deltas from stale peers must end in the same configuration. */
+  /** Delayed, repeated and reordered deltas from stale peers must give the same configuration. */
   @Test(dataProvider = "seeds")
   public void neverRevertsWhateverTheOrderOfDeltas(long seed) {
     Random random = new Random(seed);
     ConfigReplica source = new ConfigReplica();
     ConfigReplica target = new ConfigReplica();
-    List<ConfigDelta> wire = new ArrayList<>();
+    List<ConfigDelta> sentDeltas = new ArrayList<>();
     long revision = 0;
     for (int step = 0; step < 200; step++) {
       revision += 1 + random.nextInt(3);
       ConfigEntry change = entry("m" + random.nextInt(5), revision, random.nextInt(4) * 10);
       source.merge(source.revision(), new ConfigDelta(revision, List.of(change)));
-      wire.add(source.deltaAfter(target.revision()));
-      Collections.shuffle(wire, random);
-      long before = target.revision();
-      // A delta starts at what its receiver had when it asked, which is never after now.
-      ConfigDelta late = wire.get(random.nextInt(wire.size()));
-      target.merge(0, late);
-      assertTrue(target.revision() >= before, "the revision fell");
+      sentDeltas.add(source.deltaAfter(target.revision()));
+      Collections.shuffle(sentDeltas, random);
+      long revisionBefore = target.revision();
+      // A delta starts at the receiver's revision at the time of its pull, which never exceeds the
+      // current one.
+      ConfigDelta delta = sentDeltas.get(random.nextInt(sentDeltas.size()));
+      target.merge(0, delta);
+      assertTrue(target.revision() >= revisionBefore, "the revision decreased");
     }
     target.merge(target.revision(), source.deltaAfter(target.revision()));
     assertEquals(target.revision(), source.revision());
--- a/landingtrack/src/test/java/org/landingtrack/internal/config/RelayTreeTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/config/RelayTreeTest.java
@@ -26,6 +26,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Checks the depth and the fan-out of the relay tree. */
 public final class RelayTreeTest {
   @DataProvider
   public Object[][] sizes() {
@@ -33,7 +34,7 @@
   }
 
   @Test(dataProvider = "sizes")
-  public void everyMemberReachesAWatcherInFewSteps(int size, int mostSteps) {
+  public void everyMemberReachesAWatcherInFewSteps(int size, int maxSteps) {
     List<String> members = new ArrayList<>();
     for (int i = 0; i < size; i++) {
       members.add("vm-" + i);
@@ -49,7 +50,7 @@
         steps++;
         parent = RelayTree.parent(parent.get(), "dc", members);
       }
-      assertTrue(steps <= mostSteps, member + " is " + steps + " steps away");
+      assertTrue(steps <= maxSteps, member + " is " + steps + " steps away");
     }
     assertEquals(watchers, Math.min(size, RelayTree.WATCHERS));
     children.forEach((p, count) -> assertTrue(count <= RelayTree.FAN_OUT));
