--- a/landingtrack/src/main/java/org/landingtrack/internal/controller/ControllerComponent.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/controller/ControllerComponent.java
@@ -34,7 +34,7 @@
 import org.landingtrack.internal.weights.WeightRoller;
 import org.landingtrack.internal.wiring.ProcessModule;
 
-/** The parts of one controller, wired. */
+/** Creates the objects of one controller process, by dependency injection. */
 @Singleton
 @Component(modules = {ProcessModule.class, ControllerModule.class})
 interface ControllerComponent {
--- a/landingtrack/src/main/java/org/landingtrack/internal/controller/ControllerModule.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/controller/ControllerModule.java
@@ -47,7 +47,7 @@
 import org.landingtrack.internal.weights.HttpEngineOrders;
 import org.landingtrack.internal.weights.WeightRoller;
 
-/** Makes the parts of a controller. */
+/** Provides the objects that only controllers have. */
 @Module
 final class ControllerModule {
   private static final int MAX_GROUPS = 200_000;
@@ -55,7 +55,10 @@
   private static final long LEASE_MS = 6_000;
   private static final long VISIBLE_WITHIN_MS = 3_000;
 
-  /** One controller's share of the platform's rates; the platform itself refuses beyond its own. */
+  /**
+   * Rate limits of one controller's calls to the platform, a share of the platform's own limits.
+   * The platform itself rejects calls beyond its limits.
+   */
   private static final double READS_PER_SECOND = 50;
 
   private static final double WRITES_PER_SECOND = 40;
@@ -83,7 +86,10 @@
     return PeerServer.open(settings.host(), settings.peerPort(), sockets);
   }
 
-  /** The incarnation starts from the clock, so that a restarted VM outbids its own death. */
+  /**
+   * Uses the wall clock as the first incarnation number, so that a restarted controller has a
+   * higher one than its previous run and overrides the report that it is dead.
+   */
   @Provides
   @Singleton
   MembershipService membership(PeerServer server, Ticker ticker) {
@@ -125,7 +131,7 @@
       MembershipService membership,
       PeerClient peers,
       PrefixDirectory directory,
-      KeptStateKeeper kept) {
+      KeptStateKeeper exporter) {
     return new FactRouter(
         settings.vm(),
         () -> local(membership),
@@ -133,20 +139,21 @@
         directory,
         batch -> {
           directory.apply(batch);
-          kept.learned(batch);
+          exporter.learned(batch);
         });
   }
 
   @Provides
   @Singleton
-  FeedFollower follower(Supplier<Catalog> catalog, MembershipService membership, FactRouter facts) {
+  FeedFollower follower(
+      Supplier<Catalog> catalog, MembershipService membership, FactRouter router) {
     return new FeedFollower(
         settings.vm(),
         settings.dataCentre(),
         catalog,
         () -> local(membership),
         new HttpCacheFeed(),
-        facts);
+        router);
   }
 
   private List<Member> local(MembershipService membership) {
@@ -206,13 +213,21 @@
       ConfigReplica replica,
       MembershipService membership,
       PrefixDirectory directory,
-      KeptStateKeeper kept,
+      KeptStateKeeper exporter,
       ClaimShards claims,
-      Explainer explainer,
-      Gateways gateways,
-      LeavingServers leaving,
+      Explainer explanationStore,
+      Gateways gatewayRevisions,
+      LeavingServers leavingServers,
       Ticker ticker) {
     return new PeerRoutes(
-        replica, membership, directory, kept, claims, explainer, gateways, leaving, ticker);
+        replica,
+        membership,
+        directory,
+        exporter,
+        claims,
+        explanationStore,
+        gatewayRevisions,
+        leavingServers,
+        ticker);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/controller/ControllerProcess.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/controller/ControllerProcess.java
@@ -47,7 +47,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A running controller. */
+/**
+ * A running controller: takes part in the controllers' membership, replicates the configuration,
+ * and serves peers, operators, and HTTP requests for health and metrics. Thread-safe.
+ */
 public final class ControllerProcess implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("controller");
   private static final int HTTP_THREADS = 8;
@@ -63,18 +66,18 @@
   private final Javalin http;
   private final CountDownLatch stopped = new CountDownLatch(1);
 
-  private ControllerProcess(ControllerSettings settings, ControllerComponent parts) {
+  private ControllerProcess(ControllerSettings settings, ControllerComponent component) {
     this.settings = settings;
-    this.parts = parts;
+    this.parts = component;
     this.vmList = new HttpVmList(settings.vmList());
-    parts.routes().addTo(parts.peerServer());
+    component.routes().addTo(component.peerServer());
     OperatorService service =
         new OperatorService(
-            parts.objectApi(),
-            parts.writer(),
-            parts.replica(),
-            parts.membership(),
-            parts.objectApi()::reachable,
+            component.objectApi(),
+            component.writer(),
+            component.replica(),
+            component.membership(),
+            component.objectApi()::reachable,
             this::inForce,
             this::explain);
     this.operators =
@@ -83,7 +86,7 @@
             settings.operatorsPort(),
             service,
             settings.operators(),
-            parts.tls().identities());
+            component.tls().identities());
     addMetrics();
     this.http =
         HttpServers.start(
@@ -91,28 +94,28 @@
             settings.httpPort(),
             HTTP_THREADS,
             HTTP_IDLE_MS,
-            parts.metrics(),
-            parts.replica()::isComplete,
+            component.metrics(),
+            component.replica()::isComplete,
             config -> {});
   }
 
   /** Starts a controller; it runs until it is closed. */
   public static ControllerProcess start(ControllerSettings settings) {
-    ControllerComponent parts =
+    ControllerComponent component =
         DaggerControllerComponent.builder()
             .processModule(new ProcessModule(settings.tls()))
             .controllerModule(new ControllerModule(settings))
             .build();
-    ControllerProcess process = new ControllerProcess(settings, parts);
+    ControllerProcess process = new ControllerProcess(settings, component);
     process.seed();
     process.seeder.every(SEED_EVERY_MS, process::seed);
-    parts.feed().start();
-    parts.follower().start();
-    parts.roller().start();
+    component.feed().start();
+    component.follower().start();
+    component.roller().start();
     log.info(
-        "Controller {} answers peers on {}, operators on {}, HTTP on {}.",
+        "Controller {} listens on port {} for peers, {} for operators and {} for HTTP.",
         settings.vm(),
-        parts.peerServer().port(),
+        component.peerServer().port(),
         process.operators.port(),
         process.http.port());
     return process;
@@ -121,25 +124,32 @@
   private void addMetrics() {
     var metrics = parts.metrics();
     metrics.gauge(
-        "landingtrack_config_revision", "Revision in force.", () -> parts.replica().revision());
+        "landingtrack_config_revision",
+        "Revision of the configuration in force.",
+        () -> parts.replica().revision());
     metrics.gauge(
-        "landingtrack_members", "Usable controllers.", () -> parts.membership().usable().size());
+        "landingtrack_members",
+        "Controllers that count as usable members.",
+        () -> parts.membership().usable().size());
     metrics.gauge(
-        "landingtrack_directory_groups", "Prompt groups known.", () -> parts.directory().size());
+        "landingtrack_directory_groups",
+        "Prompt groups in the prefix directory.",
+        () -> parts.directory().size());
     metrics.gauge(
         "landingtrack_followed_servers",
-        "Backend servers whose events are followed.",
+        "Backend servers whose cache events this controller follows.",
         () -> parts.follower().followed());
     metrics.gauge(
         "landingtrack_platform_reachable",
-        "1 while the Object API answers.",
+        "1 while the Object API answers, otherwise 0.",
         () -> parts.objectApi().reachable() ? 1 : 0);
   }
 
   /**
-   * Learns of other controllers and of leaving backend servers. Only the controllers that watch the
-   * platform ask the VM list; the others ask their parent, so that the list's load does not grow
-   * with the fleet.
+   * Updates the known controllers and the leaving backend servers. Only the controllers that watch
+   * the platform read the VM list; the others ask their parent, so that the load on the VM list
+   * does not grow with the fleet. A controller that knows no other one also asks the configured
+   * seeds.
    */
   private void seed() {
     List<Member> found = new ArrayList<>();
@@ -175,7 +185,7 @@
       }
       parts.leaving().set(leaving);
     } catch (PlatformException e) {
-      log.debug("The VM list gives nothing: {}.", e.getMessage());
+      log.debug("The VM list cannot be read: {}.", e.getMessage());
     }
     return members;
   }
@@ -199,12 +209,16 @@
                 info.incarnation()));
       }
     } catch (PeerException e) {
-      log.debug("Seed {} does not answer: {}.", address, e.getMessage());
+      log.debug("Controller {} did not return its members: {}.", address, e.getMessage());
     }
     return members;
   }
 
-  /** Counts each process once, though a gateway may just have changed its controller. */
+  /**
+   * Counts the processes in which a revision is in force. A gateway that has just changed its
+   * controller is reported by both, and counts once, with the higher revision. A controller that
+   * does not answer counts as one on an older revision.
+   */
   private Rollouts.Count inForce(long revision) {
     Map<String, Long> revisions = new HashMap<>();
     for (Member member : parts.membership().usable()) {
@@ -221,24 +235,27 @@
       }
     }
     int inForce = 0;
-    for (long known : revisions.values()) {
-      if (known >= revision) {
+    for (long processRevision : revisions.values()) {
+      if (processRevision >= revision) {
         inForce++;
       }
     }
     return new Rollouts.Count(inForce, revisions.size());
   }
 
-  /** Looks here first, then on the VM that the id names, then on all others. */
+  /**
+   * Returns the explanation of a request from this controller, else from the controller of the VM
+   * that the request id names, else from any other one.
+   */
   private List<String> explain(String requestId) {
-    List<String> own = parts.explainer().explain(requestId);
-    if (!own.isEmpty()) {
-      return own;
+    List<String> localSentences = parts.explainer().explain(requestId);
+    if (!localSentences.isEmpty()) {
+      return localSentences;
     }
     String vm = RequestIds.vmOf(requestId);
-    List<Member> order = new ArrayList<>(parts.membership().usable());
-    order.sort(Comparator.comparing((Member m) -> !m.vm().equals(vm)));
-    for (Member member : order) {
+    List<Member> members = new ArrayList<>(parts.membership().usable());
+    members.sort(Comparator.comparing((Member member) -> !member.vm().equals(vm)));
+    for (Member member : members) {
       if (member.vm().equals(settings.vm())) {
         continue;
       }
@@ -252,7 +269,7 @@
           return sentences;
         }
       } catch (PeerException e) {
-        log.debug("Member {} does not explain: {}.", member.vm(), e.getMessage());
+        log.debug("Controller {} did not return an explanation: {}.", member.vm(), e.getMessage());
       }
     }
     return List.of();
@@ -273,15 +290,15 @@
     return http.port();
   }
 
-  /** Waits until the controller is closed. */
+  /** Blocks until the controller is closed. */
   public void await() throws InterruptedException {
     stopped.await();
   }
 
-  /** Stops: gives its lease back, leaves the membership, then closes its ports. */
+  /** Stops the controller: releases its lease, leaves the membership, then closes the ports. */
   @Override
   public void close() {
-    log.info("Controller {} stops.", settings.vm());
+    log.info("Controller {} is stopping.", settings.vm());
     seeder.close();
     parts.roller().close();
     parts.follower().close();
--- a/landingtrack/src/main/java/org/landingtrack/internal/controller/Gateways.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/controller/Gateways.java
@@ -22,7 +22,10 @@
 import java.util.concurrent.TimeUnit;
 import org.landingtrack.internal.peer.Messages.InForce;
 
-/** The gateways that pull from this controller, with what they have in force. Thread-safe. */
+/**
+ * Tracks the gateways that pull the configuration from this controller, and the revision that each
+ * has in force. A gateway that does not pull for {@link #FORGET_S} seconds is removed. Thread-safe.
+ */
 final class Gateways {
   private static final long FORGET_S = 15;
   private static final int MAX = 1_000;
@@ -30,13 +33,15 @@
   private final Cache<String, Long> revisions =
       Caffeine.newBuilder().maximumSize(MAX).expireAfterWrite(FORGET_S, TimeUnit.SECONDS).build();
 
+  /** Records a pull by a gateway, which has {@code revision} in force. */
   void pulled(String gateway, long revision) {
     revisions.put(gateway, revision);
   }
 
+  /** Returns the tracked gateways with their revisions. */
   List<InForce> inForce() {
-    List<InForce> all = new ArrayList<>();
-    revisions.asMap().forEach((gateway, revision) -> all.add(new InForce(gateway, revision)));
-    return all;
+    List<InForce> result = new ArrayList<>();
+    revisions.asMap().forEach((gateway, revision) -> result.add(new InForce(gateway, revision)));
+    return result;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/controller/LeavingServers.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/controller/LeavingServers.java
@@ -17,7 +17,9 @@
 
 import java.util.List;
 
-/** The backend servers that the VM list says are leaving, as last heard. Thread-safe. */
+/**
+ * Holds the names of the backend servers that are leaving by the last known VM list. Thread-safe.
+ */
 final class LeavingServers {
   private volatile List<String> servers = List.of();
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/controller/PeerRoutes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/controller/PeerRoutes.java
@@ -57,7 +57,7 @@
 import org.landingtrack.internal.peer.Messages.Taken;
 import org.landingtrack.internal.peer.PeerServer;
 
-/** What a controller answers to gateways and other controllers. */
+/** Handles the messages that gateways and other controllers send to a controller. Thread-safe. */
 final class PeerRoutes {
   private static final int MAX_HOLDERS = 8;
   private static final long CLAIM_MS = 3_500;
@@ -79,23 +79,24 @@
       ConfigReplica replica,
       MembershipService membership,
       PrefixDirectory directory,
-      KeptStateKeeper kept,
+      KeptStateKeeper exporter,
       ClaimShards claims,
-      Explainer explainer,
-      Gateways gateways,
-      LeavingServers leaving,
+      Explainer explanationStore,
+      Gateways gatewayRevisions,
+      LeavingServers leavingServers,
       Ticker ticker) {
     this.replica = replica;
     this.membership = membership;
     this.directory = directory;
-    this.kept = kept;
+    this.kept = exporter;
     this.claims = claims;
-    this.explainer = explainer;
-    this.gateways = gateways;
-    this.leaving = leaving;
+    this.explainer = explanationStore;
+    this.gateways = gatewayRevisions;
+    this.leaving = leavingServers;
     this.ticker = ticker;
   }
 
+  /** Registers a handler for each message type. */
   void addTo(PeerServer server) {
     server.on(ConfigPull.class, this::config);
     server.on(RevisionQuery.class, query -> new RevisionAnswer(replica.revision()));
@@ -161,14 +162,13 @@
   }
 
   private ClaimAnswer claim(ClaimQuery query) throws InterruptedException {
-    Verdict verdict;
+    Verdict result;
     try {
-      verdict =
-          claims.claim(query.keyHash(), query.claimant()).get(CLAIM_MS, TimeUnit.MILLISECONDS);
+      result = claims.claim(query.keyHash(), query.claimant()).get(CLAIM_MS, TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      verdict = new Verdict(Outcome.UNAVAILABLE, "");
+      result = new Verdict(Outcome.UNAVAILABLE, "");
     }
-    return new ClaimAnswer(verdict.outcome().name(), verdict.by(), CLAIM_RETRY_MS);
+    return new ClaimAnswer(result.outcome().name(), result.by(), CLAIM_RETRY_MS);
   }
 
   private Taken release(ClaimRelease release) {
@@ -176,14 +176,18 @@
     return new Taken();
   }
 
-  /** Every entry VM has one gateway and one controller, so the members count the gateways. */
+  /**
+   * Returns the gateway's shares of its teams' limits. Each entry VM runs one gateway and one
+   * controller, so the number of usable members is also the number of gateways.
+   */
   private ShareAnswer shares(ShareQuery query) {
-    int live = membership.usable().size();
+    int gatewayCount = membership.usable().size();
     long now = ticker.millis();
     List<Double> shares = new ArrayList<>();
     for (int i = 0; i < query.teams().size(); i++) {
       double wanted = query.wanted().get(i);
-      shares.add(shareBook.report(query.teams().get(i), query.gateway(), wanted, live, now));
+      shares.add(
+          shareBook.report(query.teams().get(i), query.gateway(), wanted, gatewayCount, now));
     }
     return new ShareAnswer(shares);
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/controller/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/controller/package-info.java
@@ -1,3 +1,3 @@
-/** The controller process: wiring and life cycle. */
+/** The controller process: dependency injection, life cycle and the messages that it handles. */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.controller;
--- a/landingtrack/src/main/java/org/landingtrack/internal/explain/Explainer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/explain/Explainer.java
@@ -23,8 +23,9 @@
 import org.landingtrack.internal.peer.Messages.Explanation;
 
 /**
- * Keeps explanations in bounded memory: the newest stay, and those not handed on yet wait in a ring
- * that drops what does not fit. Thread-safe.
+ * Stores explanations of requests in a cache of bounded size. Explanations of this process also
+ * wait in a bounded queue until they are sent to another process; if the queue is full, an
+ * explanation is stored here but not sent. Thread-safe.
  */
 public final class Explainer {
   private static final int PENDING = 4_096;
@@ -32,29 +33,30 @@
   private final Cache<String, List<String>> known;
   private final ArrayBlockingQueue<Explanation> pending = new ArrayBlockingQueue<>(PENDING);
 
-  public Explainer(int maxKept) {
-    this.known = Caffeine.newBuilder().maximumSize(maxKept).build();
+  /** Creates a store of {@code maxSize} explanations at most. */
+  public Explainer(int maxSize) {
+    this.known = Caffeine.newBuilder().maximumSize(maxSize).build();
   }
 
-  /** Keeps an explanation. */
+  /** Stores an explanation of this process and queues it for sending. */
   public void note(String requestId, List<String> sentences) {
     known.put(requestId, sentences);
     var unused = pending.offer(new Explanation(requestId, sentences));
   }
 
-  /** Keeps an explanation that another process hands on. */
+  /** Stores an explanation that another process sent. */
   public void keep(Explanation explanation) {
     known.put(explanation.requestId(), List.copyOf(explanation.sentences()));
   }
 
-  /** Takes what has not been handed on yet. */
+  /** Removes explanations from the queue and returns them, oldest first, {@code max} at most. */
   public List<Explanation> drain(int max) {
     List<Explanation> batch = new ArrayList<>();
     pending.drainTo(batch, max);
     return batch;
   }
 
-  /** Returns the explanation of a request; empty if nothing is known any more. */
+  /** Returns the sentences of a request's explanation; empty if it is not stored or was evicted. */
   public List<String> explain(String requestId) {
     List<String> sentences = known.getIfPresent(requestId);
     return sentences == null ? List.of() : sentences;
--- a/landingtrack/src/main/java/org/landingtrack/internal/explain/Trace.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/explain/Trace.java
@@ -18,20 +18,23 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The sentences that explain one request, in order and bounded. Not thread-safe. */
+/**
+ * Collects the sentences that explain one request, in order, {@link #MAX_SENTENCES} at most. Not
+ * thread-safe.
+ */
 public final class Trace {
   private static final int MAX_SENTENCES = 64;
 
   private final List<String> sentences = new ArrayList<>();
 
-  /** Adds a sentence; beyond the bound it is dropped. */
+  /** Adds a sentence; does nothing if the maximum is reached. */
   public void say(String sentence) {
     if (sentences.size() < MAX_SENTENCES) {
       sentences.add(sentence);
     }
   }
 
-  /** Returns the sentences so far. */
+  /** Returns the sentences added so far. */
   public List<String> sentences() {
     return List.copyOf(sentences);
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/AuditTrail.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/AuditTrail.java
@@ -32,8 +32,9 @@
 import org.landingtrack.internal.platform.StoredObject;
 
 /**
- * Who changed what. An object's whole trail is read from the Object API when it is asked for; the
- * replica has the last change of every object. Thread-safe.
+ * Reads the audit trail of configuration objects: who changed what, and when. The Object API stores
+ * the complete trail of an object and is read on request; the {@link ConfigReplica} has only the
+ * last change of each object. Thread-safe.
  */
 final class AuditTrail {
   private final ObjectApi api;
@@ -44,7 +45,7 @@
     this.replica = replica;
   }
 
-  /** One change with the object that it changed. */
+  /** A change and the object that it changed. */
   record Entry(Kind kind, String name, Change change) {
     String subject() {
       return kind.label() + "/" + name;
@@ -52,24 +53,27 @@
   }
 
   /**
-   * Changes, newest first.
+   * A list of changes, newest first.
    *
-   * @param whole false if only the last change of each object was at hand
+   * @param whole false if only the last change of each object was available
    */
   record Page(List<Entry> entries, boolean whole) {}
 
-  /** Returns the changes of one object. */
+  /**
+   * Returns the latest changes of one object, {@code limit} at most. Falls back to the last change,
+   * from the replica, if the object cannot be read from the Object API.
+   */
   Page of(Kind kind, String name, int limit) {
     Optional<StoredEntry> stored = fromPlatform(kind, name);
     if (stored.isPresent()) {
       return new Page(newest(entries(stored.get()), limit), true);
     }
-    List<Entry> known = new ArrayList<>();
-    replica.entry(kind, name).ifPresent(entry -> known.addAll(entries(decode(entry))));
-    return new Page(known, false);
+    List<Entry> replicated = new ArrayList<>();
+    replica.entry(kind, name).ifPresent(entry -> replicated.addAll(entries(decode(entry))));
+    return new Page(replicated, false);
   }
 
-  /** Returns the last change of each object of a kind, or of all kinds. */
+  /** Returns the last change of each object of a kind, or of all kinds; {@code limit} at most. */
   Page lastChanges(Optional<Kind> kind, int limit) {
     List<Entry> found = new ArrayList<>();
     for (ConfigEntry entry : replica.entries()) {
@@ -81,7 +85,7 @@
     return new Page(newest(found, limit), false);
   }
 
-  /** Explains an object in sentences; none if it was never there. */
+  /** Describes an object and its changes in sentences; returns none if it never existed. */
   List<String> explain(Kind kind, String name) {
     Optional<ConfigEntry> entry = replica.entry(kind, name);
     if (entry.isEmpty()) {
@@ -99,14 +103,15 @@
       sentences.add(sentence(page.entries().get(i).change()));
     }
     if (!page.whole()) {
-      sentences.add("The platform does not answer; earlier changes are not known here.");
+      sentences.add(
+          "The platform did not return the audit trail; earlier changes are not known here.");
     }
     return sentences;
   }
 
   private static String sentence(Change change) {
     return change.operator()
-        + " made it version "
+        + " changed it to version "
         + change.version()
         + " by "
         + change.action()
@@ -118,8 +123,8 @@
   private Optional<StoredEntry> fromPlatform(Kind kind, String name) {
     String key = StoredEntry.key(kind, name);
     try {
-      Optional<StoredObject> object = api.read(CallClass.STATUS, key);
-      return object.map(stored -> Json.read(key, stored.value(), StoredEntry.class));
+      Optional<StoredObject> stored = api.read(CallClass.STATUS, key);
+      return stored.map(object -> Json.read(key, object.value(), StoredEntry.class));
     } catch (PlatformException e) {
       return Optional.empty();
     }
@@ -138,7 +143,7 @@
   }
 
   private static List<Entry> newest(List<Entry> entries, int limit) {
-    // Changes of one object within a millisecond keep the order of their versions.
+    // The version orders changes of an object that have the same time in milliseconds.
     entries.sort(
         Comparator.comparingLong((Entry entry) -> entry.change().atMs())
             .thenComparingLong(entry -> entry.change().version())
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/CatalogWriter.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/CatalogWriter.java
@@ -39,9 +39,10 @@
 import org.landingtrack.internal.platform.StoredObject;
 
 /**
- * Changes configuration objects. A change is accepted only once its conditional update is known to
- * have taken effect: a lost answer is settled by reading back and looking for the change's id, and
- * the same update is tried again only while the version it expects is still current. Thread-safe.
+ * Writes configuration objects and their audit trails to the Object API, by conditional updates. A
+ * change is accepted only once its update is known to have taken effect. If the answer to an update
+ * is lost, the object is read again and searched for the change id; the update is repeated only
+ * with the same expected version, so that it takes effect at most once. Thread-safe.
  */
 public final class CatalogWriter {
   private static final int MAX_TRIES = 8;
@@ -56,8 +57,13 @@
   /**
    * The outcome of a change, or of a dry run of one.
    *
-   * @param before content before it as JSON; empty if there was none
-   * @param after content after it as JSON; empty for a delete
+   * @param version version of the object after the change; for a dry run, or if nothing changed,
+   *     the current one, which is 0 if the object does not exist
+   * @param revision revision of the stored object; 0 if there is none
+   * @param changeId id of the change in the audit trail; empty if nothing was written
+   * @param changed false if the object already had the new content
+   * @param before content before the change as JSON; empty if there was none
+   * @param after content after the change as JSON; empty for a delete
    */
   public record Outcome(
       long version, long revision, String changeId, boolean changed, String before, String after) {}
@@ -65,22 +71,33 @@
   /**
    * Creates a writer.
    *
-   * @param visibleWithinMs how long an accepted change is waited for in the own replica
+   * @param wallClock milliseconds since the Unix epoch
+   * @param visibilityTimeoutMs how long to wait until an accepted change is visible in {@code
+   *     replica}
    */
   public CatalogWriter(
       ObjectApi api,
       ConfigReplica replica,
       LongSupplier wallClock,
       RandomGenerator random,
-      long visibleWithinMs) {
+      long visibilityTimeoutMs) {
     this.api = api;
     this.replica = replica;
     this.wallClock = wallClock;
     this.random = random;
-    this.visibleWithinMs = visibleWithinMs;
+    this.visibleWithinMs = visibilityTimeoutMs;
   }
 
-  /** Creates or updates an object. */
+  /**
+   * Creates or updates an object.
+   *
+   * @param specJson new content as JSON
+   * @param expectedVersion version that the object must have: 0 if it must not exist, -1 for any
+   * @param dryRun if true, checks the change and writes nothing
+   * @throws LandingtrackException VERSION_CONFLICT if the object has another version,
+   *     PLATFORM_UNAVAILABLE if nothing was changed, OUTCOME_UNKNOWN if the change may have taken
+   *     effect
+   */
   public Outcome put(
       Operator operator,
       Kind kind,
@@ -94,7 +111,10 @@
     return change(operator, kind, name, Optional.of(after), expectedVersion, dryRun);
   }
 
-  /** Deletes an object; its audit trail stays. */
+  /**
+   * Deletes an object; its audit trail stays. Expected versions and errors are as for {@link #put},
+   * with NOT_FOUND if the object does not exist.
+   */
   public Outcome delete(Operator operator, Kind kind, String name, long expectedVersion) {
     catalog().checkDelete(kind, name);
     return change(operator, kind, name, Optional.empty(), expectedVersion, false);
@@ -103,7 +123,7 @@
   private Catalog catalog() {
     if (!replica.isComplete()) {
       throw new LandingtrackException(
-          ErrorKind.NOT_READY, "this controller has no configuration yet");
+          ErrorKind.NOT_READY, "this controller has not received the configuration yet");
     }
     return replica.catalog();
   }
@@ -117,23 +137,24 @@
       boolean dryRun) {
     String key = StoredEntry.key(kind, name);
     Optional<StoredObject> stored = readOrRefuse(key);
-    @Nullable StoredEntry known =
+    @Nullable StoredEntry current =
         stored.map(object -> Json.read(key, object.value(), StoredEntry.class)).orElse(null);
-    @Nullable JsonNode before = known == null ? null : known.spec();
-    long visible = before == null || known == null ? 0 : known.version();
-    checkVersion(kind, name, expectedVersion, visible);
+    @Nullable JsonNode before = current == null ? null : current.spec();
+    long currentVersion = before == null || current == null ? 0 : current.version();
+    checkVersion(kind, name, expectedVersion, currentVersion);
     if (after.isEmpty() && before == null) {
       throw new LandingtrackException(
           ErrorKind.NOT_FOUND, kind.label() + "/" + name + " does not exist");
     }
-    boolean same = before != null && before.equals(after.orElse(null));
-    if (same || dryRun) {
+    boolean unchanged = before != null && before.equals(after.orElse(null));
+    if (unchanged || dryRun) {
       long revision = stored.map(StoredObject::revision).orElse(0L);
-      return new Outcome(visible, revision, "", !same, text(before), text(after.orElse(null)));
+      return new Outcome(
+          currentVersion, revision, "", !unchanged, text(before), text(after.orElse(null)));
     }
-    Change change = newChange(operator, known, before, after);
-    StoredEntry old = known == null ? new StoredEntry(kind, name, 0, null, List.of()) : known;
-    StoredEntry next = old.withChange(change);
+    Change change = newChange(operator, current, before, after);
+    StoredEntry base = current == null ? new StoredEntry(kind, name, 0, null, List.of()) : current;
+    StoredEntry next = base.withChange(change);
     long platformVersion = stored.map(StoredObject::version).orElse(ObjectApi.ABSENT);
     StoredObject written = writeSettled(key, next, change.changeId(), platformVersion);
     awaitVisible(written.revision());
@@ -168,7 +189,7 @@
 
   private Change newChange(
       Operator operator,
-      @Nullable StoredEntry known,
+      @Nullable StoredEntry current,
       @Nullable JsonNode before,
       Optional<JsonNode> after) {
     String action = after.isEmpty() ? "delete" : before == null ? "create" : "update";
@@ -178,7 +199,7 @@
         operator.name(),
         operator.from(),
         action,
-        known == null ? 1 : known.version() + 1,
+        current == null ? 1 : current.version() + 1,
         before,
         after.orElse(null));
   }
@@ -186,30 +207,34 @@
   private StoredObject writeSettled(
       String key, StoredEntry next, String changeId, long expectedVersion) {
     Backoff backoff = new Backoff(random, 20, 500);
-    boolean unsettled = false;
-    for (int tries = 0; tries < MAX_TRIES; tries++) {
+    boolean mayHaveWritten = false;
+    for (int attempt = 0; attempt < MAX_TRIES; attempt++) {
       try {
         return api.write(CallClass.CONFIGURATION, key, Json.write(next), expectedVersion);
       } catch (PlatformException e) {
         if (e.reason() == PlatformException.Reason.CONFLICT) {
-          return ownWriteOrConflict(key, changeId, unsettled);
+          return ownWriteOrConflict(key, changeId, mayHaveWritten);
         }
-        unsettled |= e.reason() == PlatformException.Reason.OUTCOME_UNKNOWN;
+        mayHaveWritten |= e.reason() == PlatformException.Reason.OUTCOME_UNKNOWN;
       }
       pause(backoff.nextMs());
     }
-    if (unsettled) {
+    if (mayHaveWritten) {
       throw new LandingtrackException(
           ErrorKind.OUTCOME_UNKNOWN,
           "the platform did not confirm change " + changeId + "; look for it in the audit trail");
     }
     throw new LandingtrackException(
-        ErrorKind.PLATFORM_UNAVAILABLE, "the platform takes no changes now; nothing was changed");
+        ErrorKind.PLATFORM_UNAVAILABLE,
+        "the platform did not accept the change in several attempts; nothing was changed");
   }
 
-  /** A conflict may come from our own earlier write whose answer was lost. */
-  private StoredObject ownWriteOrConflict(String key, String changeId, boolean unsettled) {
-    Optional<StoredObject> stored = unsettled ? readBack(key, changeId) : readOrRefuse(key);
+  /**
+   * Returns the stored object if the conflict comes from an earlier attempt at the same change
+   * whose answer was lost; throws VERSION_CONFLICT otherwise.
+   */
+  private StoredObject ownWriteOrConflict(String key, String changeId, boolean mayHaveWritten) {
+    Optional<StoredObject> stored = mayHaveWritten ? readBack(key, changeId) : readOrRefuse(key);
     if (stored.isPresent()) {
       StoredEntry entry = Json.read(key, stored.get().value(), StoredEntry.class);
       if (entry.holdsChange(changeId)) {
@@ -217,15 +242,15 @@
       }
       throw new LandingtrackException(
           ErrorKind.VERSION_CONFLICT,
-          "another operator changed it to version " + entry.version() + "; read it again");
+          "another operator changed the object to version " + entry.version() + "; read it again");
     }
     throw new LandingtrackException(
-        ErrorKind.VERSION_CONFLICT, "another operator changed it; read it again");
+        ErrorKind.VERSION_CONFLICT, "another operator changed the object; read it again");
   }
 
   private Optional<StoredObject> readBack(String key, String changeId) {
     Backoff backoff = new Backoff(random, 20, 500);
-    for (int tries = 0; tries < MAX_TRIES; tries++) {
+    for (int attempt = 0; attempt < MAX_TRIES; attempt++) {
       try {
         return api.read(CallClass.CONFIGURATION, key);
       } catch (PlatformException e) {
@@ -243,11 +268,14 @@
     } catch (PlatformException e) {
       throw new LandingtrackException(
           ErrorKind.PLATFORM_UNAVAILABLE,
-          "the platform does not answer; nothing was changed (" + e.getMessage() + ")");
+          "the platform did not return the object; nothing was changed (" + e.getMessage() + ")");
     }
   }
 
-  /** An operator who was answered should find the change here; elsewhere it takes its way. */
+  /**
+   * Waits until the local replica has the revision, for a limited time, so that an operator who has
+   * the answer can read the change at this controller. Other processes receive it by replication.
+   */
   private void awaitVisible(long revision) {
     try {
       long end = System.nanoTime() + visibleWithinMs * 1_000_000;
@@ -272,7 +300,8 @@
     try {
       return Json.STRICT.readTree(json);
     } catch (JsonProcessingException e) {
-      throw new LandingtrackException(ErrorKind.INTERNAL, "cannot read own JSON", e);
+      throw new LandingtrackException(
+          ErrorKind.INTERNAL, "the content written as JSON cannot be parsed", e);
     }
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/ExplainSource.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/ExplainSource.java
@@ -17,9 +17,9 @@
 
 import java.util.List;
 
-/** Finds the explanation of a request wherever it is kept. */
+/** Finds the explanation of a request, on whichever controller stores it. */
 @FunctionalInterface
 public interface ExplainSource {
-  /** Returns the sentences; none if nothing is known any more. */
+  /** Returns the sentences of a request's explanation; none if no controller has it any more. */
   List<String> explain(String requestId);
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/Operator.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/Operator.java
@@ -16,8 +16,9 @@
 package org.landingtrack.internal.operator;
 
 /**
- * An operator who called.
+ * The authenticated operator of a call.
  *
- * @param from address that the call came from
+ * @param writer true if the operator may change the configuration
+ * @param from remote address of the call
  */
 public record Operator(String name, boolean writer, String from) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/OperatorAuth.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/OperatorAuth.java
@@ -30,7 +30,10 @@
 import org.landingtrack.ErrorKind;
 import org.landingtrack.internal.base.Hashes;
 
-/** Authenticates operators by the metadata entry {@code operator-key}. Thread-safe. */
+/**
+ * Authenticates operators by the gRPC metadata entry {@code operator-key}, and puts the operator
+ * into the context of the call. Thread-safe.
+ */
 final class OperatorAuth implements ServerInterceptor {
   static final Context.Key<Operator> OPERATOR = Context.key("operator");
   static final Metadata.Key<String> KEY =
@@ -41,11 +44,16 @@
 
   private final Map<String, Entry> byHash = new HashMap<>();
 
-  /** Takes entries {@code name:role:sha256-of-key}. */
+  /**
+   * Creates an interceptor that accepts these operators.
+   *
+   * @param operators entries {@code name:role:sha256-of-key}, with the role reader or writer and
+   *     the hash in hexadecimal digits; the settings check their format
+   */
   OperatorAuth(List<String> operators) {
     for (String operator : operators) {
-      String[] parts = operator.split(":", -1);
-      byHash.put(parts[2], new Entry(parts[0], parts[1].equals(WRITER)));
+      String[] fields = operator.split(":", -1);
+      byHash.put(fields[2], new Entry(fields[0], fields[1].equals(WRITER)));
     }
   }
 
@@ -53,8 +61,8 @@
   public <Q, A> ServerCall.Listener<Q> interceptCall(
       ServerCall<Q, A> call, Metadata headers, ServerCallHandler<Q, A> next) {
     @Nullable String key = headers.get(KEY);
-    @Nullable Entry entry = key == null ? null : byHash.get(Hashes.sha256Hex(key));
-    if (entry == null) {
+    @Nullable Entry knownOperator = key == null ? null : byHash.get(Hashes.sha256Hex(key));
+    if (knownOperator == null) {
       Metadata trailers = new Metadata();
       trailers.put(OperatorErrors.KIND, ErrorKind.UNAUTHENTICATED.name());
       call.close(
@@ -62,8 +70,9 @@
           trailers);
       return new ServerCall.Listener<Q>() {};
     }
-    @Nullable Object from = call.getAttributes().get(Grpc.TRANSPORT_ATTR_REMOTE_ADDR);
-    Operator operator = new Operator(entry.name, entry.writer, String.valueOf(from));
+    @Nullable Object address = call.getAttributes().get(Grpc.TRANSPORT_ATTR_REMOTE_ADDR);
+    Operator operator =
+        new Operator(knownOperator.name, knownOperator.writer, String.valueOf(address));
     Context context = Context.current().withValue(OPERATOR, operator);
     return Contexts.interceptCall(context, call, headers, next);
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/OperatorErrors.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/OperatorErrors.java
@@ -20,7 +20,10 @@
 import io.grpc.StatusRuntimeException;
 import org.landingtrack.LandingtrackException;
 
-/** Turns error kinds into gRPC statuses, by the one table in {@code ErrorKind}. */
+/**
+ * Converts errors to gRPC statuses. The status code of each error kind is defined in {@link
+ * org.landingtrack.ErrorKind}; the kind itself is sent as the trailer {@code landingtrack-kind}.
+ */
 final class OperatorErrors {
   static final Metadata.Key<String> KIND =
       Metadata.Key.of("landingtrack-kind", Metadata.ASCII_STRING_MARSHALLER);
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/OperatorServer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/OperatorServer.java
@@ -30,7 +30,7 @@
 import org.landingtrack.internal.base.Duty;
 import org.landingtrack.internal.tls.TlsIdentities;
 
-/** Serves the operators' interface on a port. */
+/** Serves the operators' gRPC interface on a TCP port. Thread-safe. */
 public final class OperatorServer implements AutoCloseable {
   private static final int THREADS = 8;
 
@@ -41,9 +41,11 @@
   }
 
   /**
-   * Opens the port; 0 takes a free one.
+   * Starts a server.
    *
-   * @param tls the certificate that operators see; empty serves without TLS
+   * @param port port to listen on; 0 selects a free one
+   * @param operators entries {@code name:role:sha256-of-key}
+   * @param tls certificate that the server presents; empty to serve without TLS
    */
   public static OperatorServer open(
       String host,
@@ -63,11 +65,11 @@
       return new OperatorServer(builder.build().start());
     } catch (IOException e) {
       throw new LandingtrackException(
-          ErrorKind.INTERNAL, "cannot open operators' port " + host + ":" + port, e);
+          ErrorKind.INTERNAL, "cannot listen for operators on " + host + ":" + port, e);
     }
   }
 
-  /** Returns the port that is open. */
+  /** Returns the port that the server listens on. */
   public int port() {
     return server.getPort();
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/OperatorService.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/OperatorService.java
@@ -53,7 +53,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The operators' gRPC interface. Thread-safe. */
+/**
+ * Implements the operators' gRPC interface. Reads come from the local configuration replica;
+ * changes go through {@link CatalogWriter} and need the writer role. Thread-safe.
+ */
 public final class OperatorService extends OperatorsGrpc.OperatorsImplBase {
   private static final Logger log = LoggerFactory.getLogger("operator");
   private static final int DEFAULT_LIMIT = 100;
@@ -73,26 +76,26 @@
       ConfigReplica replica,
       MembershipService membership,
       BooleanSupplier platformReachable,
-      Rollouts rollouts,
-      ExplainSource explanations) {
+      Rollouts rolloutCounter,
+      ExplainSource explanationSource) {
     this.writer = writer;
     this.replica = replica;
     this.membership = membership;
     this.platformReachable = platformReachable;
-    this.rollouts = rollouts;
-    this.explanations = explanations;
+    this.rollouts = rolloutCounter;
+    this.explanations = explanationSource;
     this.audit = new AuditTrail(api, replica);
   }
 
-  private static <T> void answer(StreamObserver<T> observer, Supplier<T> work) {
+  private static <T> void answer(StreamObserver<T> observer, Supplier<T> handler) {
     try {
-      T reply = work.get();
+      T reply = handler.get();
       observer.onNext(reply);
       observer.onCompleted();
     } catch (LandingtrackException e) {
       observer.onError(OperatorErrors.of(e));
     } catch (RuntimeException e) {
-      log.warn("An operator's call failed.", e);
+      log.warn("An operator call failed with an unexpected error.", e);
       observer.onError(
           OperatorErrors.of(new LandingtrackException(ErrorKind.INTERNAL, e.toString())));
     }
@@ -118,12 +121,13 @@
                         + " rule"));
   }
 
-  private static int limit(int asked) {
-    if (asked < 0 || asked > MAX_LIMIT) {
+  private static int limit(int requested) {
+    if (requested < 0 || requested > MAX_LIMIT) {
       throw new LandingtrackException(
-          ErrorKind.BAD_REQUEST, "limit must be from 1 to " + MAX_LIMIT + ", not " + asked);
+          ErrorKind.BAD_REQUEST,
+          "limit must be from 1 to " + MAX_LIMIT + ", or 0 for the default, not " + requested);
     }
-    return asked == 0 ? DEFAULT_LIMIT : asked;
+    return requested == 0 ? DEFAULT_LIMIT : requested;
   }
 
   @Override
@@ -164,7 +168,7 @@
   private static PutReply reply(Operator operator, String subject, CatalogWriter.Outcome outcome) {
     if (!outcome.changeId().isEmpty()) {
       log.info(
-          "Operator {} changed {} to version {} by change {}.",
+          "Operator {} changed {} to version {} (change {}).",
           operator.name(),
           subject,
           outcome.version(),
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/Rollouts.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/Rollouts.java
@@ -15,12 +15,17 @@
  */
 package org.landingtrack.internal.operator;
 
-/** Counts where a revision is in force. */
+/** Counts the processes in which a revision of the configuration is in force. */
 @FunctionalInterface
 public interface Rollouts {
-  /** Asks all live controllers about themselves and their gateways. */
+  /** Asks all live controllers about their own revision and those of their gateways. */
   Count count(long revision);
 
-  /** How many of the live processes have the revision in force. */
+  /**
+   * The progress of a rollout.
+   *
+   * @param inForce live processes in which the revision, or a later one, is in force
+   * @param live live processes
+   */
   record Count(int inForce, int live) {}
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/operator/AuditTrailTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/operator/AuditTrailTest.java
@@ -34,7 +34,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What is known of changes, with the platform and without it. */
+/**
+ * Checks that the audit trail is complete while the platform answers, and that it says so when only
+ * the last changes are known because the platform is out.
+ */
 public final class AuditTrailTest {
   private static final Operator ANN = new Operator("ann", true, "here");
   private static final int CHANGES = 5;
@@ -57,13 +60,13 @@
     }
   }
 
-  /** Feeds the replica as the controllers' watch does. */
+  /** Updates the replica from the Object API, as a controller's watch does. */
   private void feed() {
     List<ConfigEntry> entries = new ArrayList<>();
     long newest = 0;
     for (StoredObject o : api.list(CallClass.CONFIGURATION, "config/", "", 100).objects()) {
-      StoredEntry held = Json.read(o.key(), o.value(), StoredEntry.class).forReplicas();
-      entries.add(new ConfigEntry(o.key(), o.version(), o.revision(), Json.write(held)));
+      StoredEntry replicated = Json.read(o.key(), o.value(), StoredEntry.class).forReplicas();
+      entries.add(new ConfigEntry(o.key(), o.version(), o.revision(), Json.write(replicated)));
       newest = Math.max(newest, o.revision());
     }
     replica.merge(0, new ConfigDelta(newest, entries));
@@ -72,7 +75,7 @@
   @DataProvider
   public Object[][] questions() {
     return new Object[][] {
-      // platform out, object (empty: all), entries, whole
+      // platform is out, object (empty: all), expected entries, expected completeness
       {false, "a", CHANGES, true},
       {true, "a", 1, false},
       {false, "", 2, false},
@@ -83,18 +86,18 @@
 
   @Test(dataProvider = "questions")
   public void changesComeNewestFirstAndSayWhetherTheyAreAll(
-      boolean out, String name, int entries, boolean whole) {
-    api.out(out);
+      boolean isOut, String name, int entries, boolean isComplete) {
+    api.out(isOut);
     AuditTrail.Page page =
         name.isEmpty()
             ? trail.lastChanges(Optional.of(Kind.MODEL), 100)
             : trail.of(Kind.MODEL, name, 100);
     api.out(false);
     assertEquals(page.entries().size(), entries);
-    assertEquals(page.whole(), whole);
+    assertEquals(page.whole(), isComplete);
     for (int i = 1; i < page.entries().size(); i++) {
-      long before = page.entries().get(i - 1).change().atMs();
-      assertTrue(before > page.entries().get(i).change().atMs(), "not newest first");
+      long newer = page.entries().get(i - 1).change().atMs();
+      assertTrue(newer > page.entries().get(i).change().atMs(), "not newest first");
     }
   }
 
@@ -102,9 +105,9 @@
   public void anExplanationSaysWhatItDoesNotKnow() {
     assertEquals(trail.explain(Kind.MODEL, "a").size(), 1 + CHANGES);
     api.out(true);
-    List<String> without = trail.explain(Kind.MODEL, "a");
+    List<String> sentences = trail.explain(Kind.MODEL, "a");
     api.out(false);
-    assertEquals(without.size(), 3);
-    assertTrue(without.get(2).contains("earlier changes are not known here"), without.get(2));
+    assertEquals(sentences.size(), 3);
+    assertTrue(sentences.get(2).contains("earlier changes are not known here"), sentences.get(2));
   }
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/operator/CatalogWriterTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/operator/CatalogWriterTest.java
@@ -41,10 +41,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/**
+ * Checks that an accepted change is written exactly once, whatever answers the platform loses, and
+ * that concurrent changes and outages neither lose a change nor accept it twice.
+ */
 public final class CatalogWriterTest {
   private static final Operator ANN = new Operator("ann", true, "here");
 
-  /** An API that feeds the replica at once, as the watch would. */
+  /** A writer on a fake Object API; {@link #feed} updates its replica, as a watch does. */
   private static final class Fixture {
     final FakeObjectApi api = new FakeObjectApi();
     final ConfigReplica replica = new ConfigReplica();
@@ -91,55 +95,61 @@
     };
   }
 
-  /** Whatever is lost, an accepted change stands exactly once, with exactly one audit entry. */
+  /**
+   * An accepted change is written exactly once, with exactly one audit entry, whichever calls or
+   * answers are lost before.
+   */
   @Test(dataProvider = "lostAnswers")
   public void anAcceptedChangeTookEffectExactlyOnce(Fault[] faults) {
-    Fixture f = new Fixture();
-    f.api.failWrites(faults);
-    CatalogWriter.Outcome outcome = f.put(10, 0);
+    Fixture fixture = new Fixture();
+    fixture.api.failWrites(faults);
+    CatalogWriter.Outcome outcome = fixture.put(10, 0);
     assertEquals(outcome.version(), 1);
-    assertEquals(f.stored("m").audit().size(), 1);
-    assertEquals(f.stored("m").audit().get(0).changeId(), outcome.changeId());
-    assertEquals(f.api.writes(), 1);
+    assertEquals(fixture.stored("m").audit().size(), 1);
+    assertEquals(fixture.stored("m").audit().get(0).changeId(), outcome.changeId());
+    assertEquals(fixture.api.writes(), 1);
   }
 
   @Test
   public void aStaleVersionIsAConflictThatNamesTheCurrentOne() {
-    Fixture f = new Fixture();
-    f.put(10, 0);
-    f.feed();
-    f.put(20, 1);
-    f.feed();
-    LandingtrackException e = expectThrows(LandingtrackException.class, () -> f.put(30, 1));
+    Fixture fixture = new Fixture();
+    fixture.put(10, 0);
+    fixture.feed();
+    fixture.put(20, 1);
+    fixture.feed();
+    LandingtrackException e = expectThrows(LandingtrackException.class, () -> fixture.put(30, 1));
     assertEquals(e.kind(), ErrorKind.VERSION_CONFLICT);
     assertEquals(e.getMessage(), "model/m has version 2, not 1; read it again");
   }
 
   @Test
   public void anOutageChangesNothingAndSaysSo() {
-    Fixture f = new Fixture();
-    f.api.out(true);
-    LandingtrackException e = expectThrows(LandingtrackException.class, () -> f.put(10, 0));
+    Fixture fixture = new Fixture();
+    fixture.api.out(true);
+    LandingtrackException e = expectThrows(LandingtrackException.class, () -> fixture.put(10, 0));
     assertEquals(e.kind(), ErrorKind.PLATFORM_UNAVAILABLE);
-    f.api.out(false);
-    assertEquals(f.api.writes(), 0);
+    fixture.api.out(false);
+    assertEquals(fixture.api.writes(), 0);
   }
 
-  /** Operators race on one object: every accepted change is in the trail, no version twice. */
+  /**
+   * Four operators change one object concurrently: each accepted change is in the audit trail, and
+   * no version is used twice.
+   */
   @Test
   public void racingOperatorsGetConflictsAndNoChangeIsLost() throws Exception {
-    Fixture f = new Fixture();
-    f.put(1, 0);
+    Fixture fixture = new Fixture();
+    fixture.put(1, 0);
     ExecutorService threads = Executors.newFixedThreadPool(4);
     List<Callable<List<String>>> operators = new ArrayList<>();
     for (int o = 0; o < 4; o++) {
-      int own = o;
+      int number = o;
       operators.add(
           () -> {
             List<String> accepted = new ArrayList<>();
             for (int i = 0; i < 5; i++) {
               try {
-                accepted.add(f.put(100 * (own + 1) + i, -1).changeId());
+                accepted.add(fixture.put(100 * (number + 1) + i, -1).changeId());
               } catch (LandingtrackException e) {
                 assertEquals(e.kind(), ErrorKind.VERSION_CONFLICT);
               }
@@ -152,7 +162,7 @@
       accepted.addAll(future.get());
     }
     threads.shutdownNow();
-    StoredEntry stored = f.stored("m");
+    StoredEntry stored = fixture.stored("m");
     assertEquals(stored.audit().size(), accepted.size() + 1);
     assertEquals(stored.version(), accepted.size() + 1);
     for (String changeId : accepted) {
@@ -162,17 +172,17 @@
 
   @Test
   public void theTrailIsBoundedAndSurvivesADelete() {
-    Fixture f = new Fixture();
+    Fixture fixture = new Fixture();
     int changes = StoredEntry.MAX_AUDIT + 16;
     for (int i = 0; i < changes; i++) {
-      f.put(10 + i, -1);
-      f.feed();
+      fixture.put(10 + i, -1);
+      fixture.feed();
     }
-    f.writer.delete(ANN, Kind.MODEL, "m", -1);
-    StoredEntry stored = f.stored("m");
+    fixture.writer.delete(ANN, Kind.MODEL, "m", -1);
+    StoredEntry stored = fixture.stored("m");
     assertEquals(stored.audit().size(), StoredEntry.MAX_AUDIT);
     assertEquals(stored.audit().get(StoredEntry.MAX_AUDIT - 1).action(), "delete");
-    f.feed();
-    assertEquals(f.put(5, 0).version(), changes + 2);
+    fixture.feed();
+    assertEquals(fixture.put(5, 0).version(), changes + 2);
   }
 }
