--- a/landingtrack/src/main/java/org/landingtrack/internal/gateway/ControllerLink.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/gateway/ControllerLink.java
@@ -39,9 +39,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A gateway's link to the controllers: follows the configuration and the list of controllers, and
- * hands explanations on. It prefers its own VM's controller and falls back to any other; when none
- * answers, the gateway goes on with what it has. Thread-safe.
+ * Connects a gateway to the controllers: replicates the configuration, keeps the list of
+ * controllers and of leaving backend servers up to date, and sends explanations of requests to a
+ * controller. It prefers the configured controllers, such as the one of its own VM, and falls back
+ * to the others of its data centre; if none answers, the gateway continues with the last known
+ * state. Thread-safe.
  */
 public final class ControllerLink implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("link");
@@ -65,24 +67,29 @@
   private volatile String current = "";
   private volatile boolean closed;
 
+  /**
+   * Creates a link; {@link #start} starts it.
+   *
+   * @param configuredAddresses addresses of controllers, tried first and in this order
+   */
   public ControllerLink(
       String vm,
       String dataCentre,
-      List<String> configured,
+      List<String> configuredAddresses,
       PeerClient peers,
       ConfigReplica replica,
-      Explainer explainer) {
+      Explainer explanationStore) {
     this.vm = vm;
     this.dataCentre = dataCentre;
-    this.configured = configured;
+    this.configured = configuredAddresses;
     this.peers = peers;
     this.replica = replica;
-    this.explainer = explainer;
+    this.explainer = explanationStore;
     this.follower = Duty.daemon("config-follow").newThread(this::follow);
     this.members = Duty.start("controllers", 16);
   }
 
-  /** Starts following. */
+  /** Starts to replicate the configuration and to refresh the list of controllers. */
   public void start() {
     follower.start();
     var unused = members.offer(this::refresh);
@@ -101,7 +108,10 @@
     }
   }
 
-  /** Tries the addresses in order; returns true if one had configuration to give. */
+  /**
+   * Pulls once, from the first controller that answers with a complete configuration; returns false
+   * if there is none.
+   */
   private boolean followOnce() {
     for (String address : addresses()) {
       try {
@@ -119,7 +129,7 @@
         merge(after, answer.delta());
         return true;
       } catch (PeerException e) {
-        log.debug("Controller {} does not answer: {}.", address, e.getMessage());
+        log.debug("Controller {} did not return configuration: {}.", address, e.getMessage());
       }
     }
     return false;
@@ -127,11 +137,14 @@
 
   private void merge(long after, ConfigDelta delta) {
     if (replica.merge(Math.max(0, after), delta)) {
-      log.info("Revision {} is in force.", replica.revision());
+      log.info("Configuration revision {} is in force.", replica.revision());
     }
   }
 
-  /** The configured addresses first, then the other controllers of the data centre. */
+  /**
+   * Returns the addresses to try, in order: the configured ones, then the other controllers of the
+   * data centre.
+   */
   private List<String> addresses() {
     List<String> addresses = new ArrayList<>(configured);
     for (MemberInfo controller : controllers) {
@@ -152,7 +165,7 @@
         handOn(address);
         return;
       } catch (PeerException e) {
-        log.debug("Controller {} does not answer: {}.", address, e.getMessage());
+        log.debug("Controller {} did not return its members: {}.", address, e.getMessage());
       }
     }
   }
@@ -167,21 +180,24 @@
 
   /** Returns the live controllers of this gateway's data centre. */
   public List<MemberInfo> controllers() {
-    List<MemberInfo> own = new ArrayList<>();
+    List<MemberInfo> local = new ArrayList<>();
     for (MemberInfo controller : controllers) {
       if (controller.dataCentre().equals(dataCentre)) {
-        own.add(controller);
+        local.add(controller);
       }
     }
-    return own;
+    return local;
   }
 
-  /** Returns true once configuration and controllers are known; claims need the latter. */
+  /**
+   * Returns true once the configuration and the controllers are known. Claims of request keys need
+   * the controllers.
+   */
   public boolean isReady() {
     return replica.isComplete() && !controllers.isEmpty();
   }
 
-  /** Returns the backend servers that are leaving. */
+  /** Returns the names of the backend servers that are leaving by the VM list. */
   public Set<String> leaving() {
     return leaving;
   }
@@ -191,12 +207,15 @@
     return controllers;
   }
 
-  /** Returns the controllers that own a key, the owner first. */
+  /**
+   * Returns the controllers of this data centre in the order in which they own a key, by rendezvous
+   * hashing: the owner first, then its successors.
+   */
   public List<MemberInfo> ownersOf(String key) {
     return Hashes.rendezvous(key, controllers(), MemberInfo::vm);
   }
 
-  /** Returns the address of the controller that last gave configuration. */
+  /** Returns the address of the controller that last returned configuration, if any. */
   public Optional<String> current() {
     @Nullable String address = current;
     return address.isEmpty() ? Optional.empty() : Optional.of(address);
--- a/landingtrack/src/main/java/org/landingtrack/internal/gateway/GatewayComponent.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/gateway/GatewayComponent.java
@@ -28,7 +28,7 @@
 import org.landingtrack.internal.tls.TlsRenewal;
 import org.landingtrack.internal.wiring.ProcessModule;
 
-/** The parts of one gateway, wired. */
+/** Creates the objects of one gateway process, by dependency injection. */
 @Singleton
 @Component(modules = {ProcessModule.class, GatewayModule.class})
 interface GatewayComponent {
--- a/landingtrack/src/main/java/org/landingtrack/internal/gateway/GatewayModule.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/gateway/GatewayModule.java
@@ -43,7 +43,7 @@
 import org.landingtrack.internal.routing.ServerTable;
 import org.landingtrack.internal.settings.GatewaySettings;
 
-/** Makes the parts of a gateway. */
+/** Provides the objects that only gateways have. */
 @Module
 final class GatewayModule {
   private static final int MAX_EXPLANATIONS = 5_000;
@@ -62,9 +62,14 @@
 
   @Provides
   @Singleton
-  ControllerLink link(PeerClient peers, ConfigReplica replica, Explainer explainer) {
+  ControllerLink link(PeerClient peers, ConfigReplica replica, Explainer explanationStore) {
     return new ControllerLink(
-        settings.vm(), settings.dataCentre(), settings.controllers(), peers, replica, explainer);
+        settings.vm(),
+        settings.dataCentre(),
+        settings.controllers(),
+        peers,
+        replica,
+        explanationStore);
   }
 
   @Provides
@@ -108,14 +113,17 @@
     };
   }
 
-  /** Each thread has its own generator, seeded in turn from the setting; 0 means any seed. */
+  /**
+   * Returns a cost policy with one random generator for each thread. The generators are split, as
+   * threads first use them, from one with this seed; 0 means a random seed.
+   */
   private static RoutingPolicy costPolicy(long seed) {
-    SplittableRandom seeds = seed == 0 ? new SplittableRandom() : new SplittableRandom(seed);
+    SplittableRandom root = seed == 0 ? new SplittableRandom() : new SplittableRandom(seed);
     ThreadLocal<RandomGenerator> generators =
         ThreadLocal.withInitial(
             () -> {
-              synchronized (seeds) {
-                return seeds.split();
+              synchronized (root) {
+                return root.split();
               }
             });
     return new CostPolicy(generators::get);
@@ -125,17 +133,17 @@
   @Singleton
   ModelDispatcher models(
       Supplier<Catalog> catalog,
-      ServerTable servers,
-      ServiceGates gates,
-      BackendClient client,
-      RoutingPolicy policy,
+      ServerTable serverTable,
+      ServiceGates limiters,
+      BackendClient backendClient,
+      RoutingPolicy routingPolicy,
       ControllerLink link,
       PeerClient peers,
-      ClaimGate claims,
+      ClaimGate claimRegistry,
       Ticker ticker) {
-    return new ModelDispatcher.Builder(catalog, servers, gates, client, policy)
+    return new ModelDispatcher.Builder(catalog, serverTable, limiters, backendClient, routingPolicy)
         .setHolders(new RemoteHolders(link, peers, ticker))
-        .setClaims(claims)
+        .setClaims(claimRegistry)
         .setTicker(ticker)
         .setDataCentre(settings.dataCentre())
         .build();
@@ -145,12 +153,13 @@
   @Singleton
   PlainDispatcher plains(
       Supplier<Catalog> catalog,
-      ServerTable servers,
-      ServiceGates gates,
-      BackendClient client,
-      ClaimGate claims,
+      ServerTable serverTable,
+      ServiceGates limiters,
+      BackendClient backendClient,
+      ClaimGate claimRegistry,
       Ticker ticker) {
-    return new PlainDispatcher(catalog, servers, gates, client, claims, ticker);
+    return new PlainDispatcher(
+        catalog, serverTable, limiters, backendClient, claimRegistry, ticker);
   }
 
   @Provides
@@ -164,20 +173,20 @@
   CallerApi callerApi(
       Supplier<Catalog> catalog,
       ControllerLink link,
-      TeamLimiter limiter,
-      ModelDispatcher models,
-      PlainDispatcher plains,
-      Explainer explainer,
+      TeamLimiter teamLimiter,
+      ModelDispatcher modelDispatcher,
+      PlainDispatcher plainDispatcher,
+      Explainer explanationStore,
       InFlight inFlight,
       Ticker ticker,
       Metrics metrics) {
     return new CallerApi(
         catalog,
         link::isReady,
-        limiter,
-        models,
-        plains,
-        explainer,
+        teamLimiter,
+        modelDispatcher,
+        plainDispatcher,
+        explanationStore,
         new RequestIds(settings.vm()),
         new CallerApi.CallerLimits(
             settings.maxBodyBytes(), settings.bodyTimeoutMs(), settings.defaultDeadlineMs()),
--- a/landingtrack/src/main/java/org/landingtrack/internal/gateway/GatewayProcess.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/gateway/GatewayProcess.java
@@ -28,7 +28,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A running gateway. */
+/**
+ * A running gateway: accepts requests of callers and sends them to backend servers, with the
+ * configuration that it replicates from the controllers. Thread-safe.
+ */
 public final class GatewayProcess implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("gateway");
   private static final long SHARES_EVERY_MS = 500;
@@ -44,45 +47,47 @@
   private final Gauge granted;
   private final CountDownLatch stopped = new CountDownLatch(1);
 
-  private GatewayProcess(GatewaySettings settings, GatewayComponent parts) {
+  private GatewayProcess(GatewaySettings settings, GatewayComponent component) {
     this.settings = settings;
-    this.parts = parts;
-    parts
+    this.parts = component;
+    component
         .metrics()
         .gauge(
             "landingtrack_requests_in_flight",
-            "Requests in flight.",
-            () -> parts.inFlight().count());
-    parts
+            "Requests of callers that are in flight.",
+            () -> component.inFlight().count());
+    component
         .metrics()
         .gauge(
-            "landingtrack_config_revision", "Revision in force.", () -> parts.replica().revision());
-    parts
+            "landingtrack_config_revision",
+            "Revision of the configuration in force.",
+            () -> component.replica().revision());
+    component
         .metrics()
         .gauge(
             "landingtrack_leaving_servers",
             "Backend servers that the VM list says are leaving.",
-            () -> parts.servers().leavingCount());
-    this.teamShares = new TeamShares(settings.vm(), parts.limiter(), parts.peers());
-    this.running = serviceGauge("running", "Requests of a service that run.");
-    this.waiting = serviceGauge("waiting", "Requests of a service that wait for their turn.");
+            () -> component.servers().leavingCount());
+    this.teamShares = new TeamShares(settings.vm(), component.limiter(), component.peers());
+    this.running = serviceGauge("running", "Running requests of a service.");
+    this.waiting = serviceGauge("waiting", "Requests of a service that wait in its queue.");
     this.granted =
-        parts
+        component
             .metrics()
             .gauge(
                 "landingtrack_team_share",
-                "Granted part of a team's limit; without one it is equal.",
+                "Share of a team's limit granted to this gateway; without a grant it is equal.",
                 "team");
-    this.limits = serviceGauge("limit", "Requests of a service that may run at once.");
+    this.limits = serviceGauge("limit", "Concurrency limit of a service at this gateway.");
     this.http =
         HttpServers.start(
             settings.callersHost(),
             settings.callersPort(),
             settings.maxRequests(),
             settings.bodyTimeoutMs(),
-            parts.metrics(),
-            () -> parts.link().isReady() && !parts.inFlight().isClosed(),
-            parts.callerApi()::addRoutes);
+            component.metrics(),
+            () -> component.link().isReady() && !component.inFlight().isClosed(),
+            component.callerApi()::addRoutes);
   }
 
   private Gauge serviceGauge(String name, String help) {
@@ -91,25 +96,30 @@
 
   /** Starts a gateway; it runs until it is closed. */
   public static GatewayProcess start(GatewaySettings settings) {
-    GatewayComponent parts =
+    GatewayComponent component =
         DaggerGatewayComponent.builder()
             .processModule(new ProcessModule(settings.tls()))
             .gatewayModule(new GatewayModule(settings))
             .build();
-    GatewayProcess process = new GatewayProcess(settings, parts);
-    parts.link().start();
+    GatewayProcess process = new GatewayProcess(settings, component);
+    component.link().start();
     process.shares.every(SHARES_EVERY_MS, process::updateShares);
-    log.info("Gateway {} answers callers on {}.", settings.vm(), process.http.port());
+    log.info("Gateway {} listens on port {} for callers.", settings.vm(), process.http.port());
     return process;
   }
 
-  /** Every entry VM has one gateway and one controller, so the controllers count the gateways. */
+  /**
+   * Updates the state that depends on the controllers: this gateway's shares of limits with their
+   * metrics, the leaving backend servers, and the servers that are no longer in the catalog. Each
+   * entry VM runs one gateway and one controller, so the number of controllers is also the number
+   * of gateways.
+   */
   private void updateShares() {
     List<MemberInfo> controllers = parts.link().allControllers();
     parts.gates().sharedBy(Math.max(1, controllers.size()));
     teamShares.refresh(controllers);
     granted.clear();
-    parts.limiter().grantedShares().forEach((team, part) -> granted.labelValues(team).set(part));
+    parts.limiter().grantedShares().forEach((team, share) -> granted.labelValues(team).set(share));
     parts.gates().state().forEach(this::report);
     parts.servers().leaving(parts.link().leaving());
     parts.servers().retain(parts.replica().catalog());
@@ -121,29 +131,32 @@
     limits.labelValues(state.service()).set(state.limit());
   }
 
-  /** Returns the callers' port. */
+  /** Returns the port that callers connect to. */
   public int port() {
     return http.port();
   }
 
-  /** Waits until the gateway is closed. */
+  /** Blocks until the gateway is closed. */
   public void await() throws InterruptedException {
     stopped.await();
   }
 
-  /** Stops as planned: no new work, running requests finish, then the port closes. */
+  /**
+   * Stops the gateway gracefully: refuses new requests, waits for the requests in flight, as long
+   * as the settings allow, then closes the port.
+   */
   @Override
   public void close() {
-    log.info("Gateway {} takes no new requests.", settings.vm());
+    log.info("Gateway {} is stopping and refuses new requests.", settings.vm());
     parts.inFlight().close();
-    int left = 0;
+    int unfinished = 0;
     try {
-      left = parts.inFlight().awaitEmpty(settings.stopGraceMs());
+      unfinished = parts.inFlight().awaitEmpty(settings.stopGraceMs());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    if (left > 0) {
-      log.warn("{} requests did not end in time.", left);
+    if (unfinished > 0) {
+      log.warn("{} requests did not end within the grace period of the stop.", unfinished);
     }
     shares.close();
     parts.link().close();
--- a/landingtrack/src/main/java/org/landingtrack/internal/gateway/RemoteClaims.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/gateway/RemoteClaims.java
@@ -29,7 +29,10 @@
 import org.landingtrack.internal.peer.PeerClient;
 import org.landingtrack.internal.peer.PeerException;
 
-/** Claims through the controller that owns the key's shard, then through its successor. */
+/**
+ * Claims request keys at the controller that owns the key's shard, or at its successor if the owner
+ * does not answer. Thread-safe.
+ */
 final class RemoteClaims implements ClaimGate {
   private static final int TIMEOUT_MS = 4_000;
   private static final int OWNERS = 2;
@@ -50,13 +53,15 @@
       case TAKEN ->
           throw new LandingtrackException(
               ErrorKind.DUPLICATE_KEY,
-              "request " + answer.claimant() + " already has this request key");
+              "request " + answer.claimant() + " already claimed this request key");
       case FULL ->
           throw new LandingtrackException(
-              ErrorKind.PLATFORM_UNAVAILABLE, "too many request keys are claimed now");
+              ErrorKind.PLATFORM_UNAVAILABLE,
+              "too many request keys are claimed now; the shard of this one is full");
       case UNAVAILABLE ->
           throw new LandingtrackException(
-              ErrorKind.PLATFORM_UNAVAILABLE, "the claim of the request key is not confirmed");
+              ErrorKind.PLATFORM_UNAVAILABLE,
+              "the platform did not confirm the claim of the request key");
     }
   }
 
@@ -70,11 +75,12 @@
             ClaimAnswer.class,
             TIMEOUT_MS);
       } catch (PeerException e) {
-        // Asking the successor for the same request id is safe: the id may claim its key twice.
+        // Tries the successor. Repeating a claim is safe: a request id may claim its key twice.
       }
     }
     throw new LandingtrackException(
-        ErrorKind.PLATFORM_UNAVAILABLE, "no controller can settle the claim of the request key");
+        ErrorKind.PLATFORM_UNAVAILABLE,
+        "no controller that owns the request key answered the claim");
   }
 
   @Override
@@ -91,7 +97,7 @@
               Taken.class,
               TIMEOUT_MS);
     } catch (PeerException e) {
-      // The key stays claimed until it expires, which is safe.
+      // The claim stays until it expires, which is safe.
     }
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/gateway/RemoteHolders.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/gateway/RemoteHolders.java
@@ -29,9 +29,10 @@
 import org.landingtrack.internal.prefix.PrefixChain;
 
 /**
- * Asks the controller that owns a prompt's group, then its successor. A directory that does not
- * answer in time costs some reuse, so the wait is short, and after failures it is left alone for a
- * while.
+ * Looks up the servers that hold blocks of a prompt in the prefix directory of the controllers:
+ * asks the controller that owns the prompt's group, then its successor. A lookup without an answer
+ * only loses some reuse of the KV cache, so the timeout is short, and a failed lookup is followed
+ * by a backoff in which none is sent. Thread-safe.
  */
 final class RemoteHolders implements HolderLookup {
   private static final int TIMEOUT_MS = 40;
@@ -62,7 +63,7 @@
             .call(owners.get(i).address(), query, HoldersAnswer.class, TIMEOUT_MS)
             .holders();
       } catch (PeerException e) {
-        // The successor is asked next.
+        // Tries the successor.
       }
     }
     restUntilMs.set(ticker.millis() + REST_MS);
--- a/landingtrack/src/main/java/org/landingtrack/internal/gateway/TeamShares.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/gateway/TeamShares.java
@@ -31,9 +31,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Asks the owners of teams for shares of their limits. A team's owner is the first controller of
- * all data centres by rendezvous; if it does not answer, what was granted ends by itself and the
- * gateway goes back to an equal share. Used by one thread.
+ * Requests this gateway's shares of teams' limits from the controllers that own the teams. A team's
+ * owner is chosen by rendezvous hashing from the controllers of all data centres. If it does not
+ * answer, the granted share expires and the gateway returns to an equal share. Not thread-safe.
  */
 final class TeamShares {
   private static final Logger log = LoggerFactory.getLogger("shares");
@@ -50,7 +50,12 @@
     this.peers = peers;
   }
 
-  /** Reports the teams that are near their share and takes what is granted. */
+  /**
+   * Reports the demand of the teams that are near their share to their owners, and applies the
+   * shares that they grant.
+   *
+   * @param controllers the live controllers of all data centres
+   */
   void refresh(List<MemberInfo> controllers) {
     limiter.sharedBy(Math.max(1, controllers.size()));
     Map<String, List<Demand>> byOwner = new HashMap<>();
@@ -58,7 +63,7 @@
       if (!controllers.isEmpty()) {
         String key = OWNER_SALT + demand.team();
         MemberInfo owner = Hashes.rendezvous(key, controllers, MemberInfo::vm).get(0);
-        byOwner.computeIfAbsent(owner.address(), a -> new ArrayList<>()).add(demand);
+        byOwner.computeIfAbsent(owner.address(), address -> new ArrayList<>()).add(demand);
       }
     }
     byOwner.forEach(this::ask);
@@ -66,15 +71,15 @@
 
   private void ask(String owner, List<Demand> demands) {
     List<String> teams = demands.stream().map(Demand::team).toList();
-    List<Double> wanted = demands.stream().map(Demand::wanted).toList();
+    List<Double> wantedShares = demands.stream().map(Demand::wanted).toList();
     try {
       ShareAnswer answer =
-          peers.call(owner, new ShareQuery(vm, teams, wanted), ShareAnswer.class, CALL_MS);
+          peers.call(owner, new ShareQuery(vm, teams, wantedShares), ShareAnswer.class, CALL_MS);
       for (int i = 0; i < Math.min(teams.size(), answer.shares().size()); i++) {
         limiter.granted(teams.get(i), answer.shares().get(i));
       }
     } catch (PeerException e) {
-      log.debug("Owner {} gives no shares: {}.", owner, e.getMessage());
+      log.debug("Controller {} granted no shares: {}.", owner, e.getMessage());
     }
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/wiring/ProcessModule.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/wiring/ProcessModule.java
@@ -29,11 +29,16 @@
 import org.landingtrack.internal.tls.TlsFiles;
 import org.landingtrack.internal.tls.TlsRenewal;
 
-/** Makes the parts that gateways and controllers have in common. */
+/** Provides the objects that gateways and controllers have in common. */
 @Module
 public final class ProcessModule {
   private final @Nullable TlsFiles tls;
 
+  /**
+   * Creates the module.
+   *
+   * @param tls TLS files of the process; null for plain connections
+   */
   public ProcessModule(@Nullable TlsFiles tls) {
     this.tls = tls;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/wiring/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/wiring/package-info.java
@@ -1,3 +1,3 @@
-/** The parts that every process of the product has. */
+/** Dependency injection of the objects that gateways and controllers have in common. */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.wiring;
