--- a/standins/src/main/java/org/landingtrack/standins/BlockCache.java
+++ b/standins/src/main/java/org/landingtrack/standins/BlockCache.java
@@ -27,10 +27,12 @@
 import org.landingtrack.internal.base.Ticker;
 
 /**
- * An engine's prefix cache: bounded, least recently used first, the deepest blocks before others.
+ * Prefix cache of an engine: a bounded set of blocks with LRU eviction. Among blocks that were used
+ * together, the deepest one (the one furthest from the start of the prompt) is evicted first.
+ * Thread-safe.
  */
 final class BlockCache {
-  /** One cached block with the weight version that it was made under. */
+  /** A cached block with the weight version that it was computed with. */
   private record Block(String group, String version, boolean broken) {}
 
   private final int capacity;
@@ -45,7 +47,11 @@
     this.events = events;
   }
 
-  /** Returns how many of the first keys are cached, and touches them. */
+  /**
+   * Returns the length of the longest cached prefix of the keys, marks these blocks as used and
+   * unpins all the keys. The prefix ends before a block of another weight version, which counts as
+   * a version violation.
+   */
   synchronized int reuse(List<String> keys, String version) {
     int depth = 0;
     while (depth < keys.size() && blocks.containsKey(keys.get(depth))) {
@@ -62,7 +68,7 @@
     return depth;
   }
 
-  /** Touches the deepest first, so that it is also evicted first. */
+  /** Marks blocks as used, the deepest one first, so that it is also evicted first. */
   private void touch(List<String> keys) {
     List<String> reversed = new ArrayList<>(keys);
     Collections.reverse(reversed);
@@ -75,30 +81,33 @@
     put(keys, version, Set.of());
   }
 
-  /** Takes in blocks; the broken ones are remembered as such, to be seen if they are ever used. */
-  synchronized void put(List<String> keys, String version, Set<String> broken) {
+  /**
+   * Adds blocks. Corrupt ones are marked as such, so that {@link #brokenBlocksUsed} counts their
+   * later uses.
+   */
+  synchronized void put(List<String> keys, String version, Set<String> corruptKeys) {
     if (keys.isEmpty()) {
       return;
     }
     String group = keys.get(0);
-    int fitting = Math.min(keys.size(), capacity);
-    for (String key : keys.subList(0, fitting)) {
-      if (blocks.put(key, new Block(group, version, broken.contains(key))) == null) {
+    int count = Math.min(keys.size(), capacity);
+    for (String key : keys.subList(0, count)) {
+      if (blocks.put(key, new Block(group, version, corruptKeys.contains(key))) == null) {
         events.add(group, key, "", true);
       }
     }
-    touch(keys.subList(0, fitting));
+    touch(keys.subList(0, count));
     evict(Ticker.SYSTEM.millis());
   }
 
-  /** The oldest go first; pinned ones only if nothing else is left. */
+  /** Evicts the least recently used blocks, pinned ones only if no others are left. */
   private void evict(long nowMs) {
     pinnedUntilMs.values().removeIf(until -> until <= nowMs);
-    for (boolean sparePinned : new boolean[] {true, false}) {
+    for (boolean skipPinned : new boolean[] {true, false}) {
       Iterator<Map.Entry<String, Block>> oldest = blocks.entrySet().iterator();
       while (blocks.size() > capacity && oldest.hasNext()) {
         Map.Entry<String, Block> candidate = oldest.next();
-        if (sparePinned && pinnedUntilMs.containsKey(candidate.getKey())) {
+        if (skipPinned && pinnedUntilMs.containsKey(candidate.getKey())) {
           continue;
         }
         events.add(candidate.getValue().group, candidate.getKey(), "", false);
@@ -108,11 +117,14 @@
     }
   }
 
-  /** Keeps blocks for the request that they were imported for, until it used them. */
-  synchronized void pin(List<String> keys, long forMs) {
+  /**
+   * Pins the cached blocks among the keys for the request that will use them. A pin ends when the
+   * block is reused or after the given time.
+   */
+  synchronized void pin(List<String> keys, long durationMs) {
     for (String key : keys) {
-      if (forMs > 0 && blocks.containsKey(key)) {
-        pinnedUntilMs.put(key, Ticker.SYSTEM.millis() + forMs);
+      if (durationMs > 0 && blocks.containsKey(key)) {
+        pinnedUntilMs.put(key, Ticker.SYSTEM.millis() + durationMs);
       }
     }
   }
--- a/standins/src/main/java/org/landingtrack/standins/EngineOptions.java
+++ b/standins/src/main/java/org/landingtrack/standins/EngineOptions.java
@@ -16,16 +16,17 @@
 package org.landingtrack.standins;
 
 /**
- * What an engine is like.
+ * Settings of an {@link EngineServer}.
  *
- * @param cacheBlocks blocks that its prefix cache holds
- * @param prefillMsPerToken time to compute a prompt token; prompts are computed one after another
- * @param decodeMs time between tokens of an answer
- * @param maxConcurrent requests in its batch
- * @param maxQueued requests that wait for a place
- * @param checksFences whether it refuses orders with an old epoch
- * @param kvBytesPerToken size of a token's state
- * @param loadMs time of a weight load when at most three run at once
+ * @param cacheBlocks capacity of its prefix cache in blocks
+ * @param prefillMsPerToken prefill time per prompt token; prompts are computed one after another
+ * @param decodeMs time between the tokens of an answer
+ * @param maxConcurrent maximum number of requests in its batch
+ * @param maxQueued maximum number of requests that wait for the batch
+ * @param checksFences whether it rejects orders with a stale epoch
+ * @param kvBytesPerToken size of the KV cache of one token
+ * @param loadMs duration of a weight load while at most three run at once
+ * @param weightVersion version of the weights that it starts with
  */
 public record EngineOptions(
     int cacheBlocks,
@@ -38,12 +39,12 @@
     long loadMs,
     String weightVersion) {
 
-  /** Returns an engine for tests: fast and small. */
+  /** Returns settings of a fast engine with a small cache, for tests. */
   public static EngineOptions small(String weightVersion) {
     return new EngineOptions(64, 0.01, 1, 4, 16, true, 1_000, 200, weightVersion);
   }
 
-  /** Returns a copy that does not check fences. */
+  /** Returns a copy of these settings without the check for stale epochs. */
   public EngineOptions withoutFences() {
     return new EngineOptions(
         cacheBlocks,
@@ -57,7 +58,7 @@
         weightVersion);
   }
 
-  /** Returns a copy with another time between tokens. */
+  /** Returns a copy of these settings with another time between tokens. */
   public EngineOptions withDecodeMs(double newDecodeMs) {
     return new EngineOptions(
         cacheBlocks,
--- a/standins/src/main/java/org/landingtrack/standins/EngineServer.java
+++ b/standins/src/main/java/org/landingtrack/standins/EngineServer.java
@@ -38,13 +38,29 @@
 import org.landingtrack.internal.base.Ticker;
 
 /**
- * A model engine: continuous batching with prefill and decode times, a bounded prefix cache,
- * events, load reports, resume, cancel, export and import of kept state, and fenced orders.
+ * HTTP server that stands in for a model engine. It has continuous batching with prefill and decode
+ * times, a bounded prefix cache with events, load reports, resuming and cancelling of streams,
+ * export and import of KV cache blocks, and weight load orders with fencing by epoch.
  *
- * <p>Faults: {@code refuse}, {@code leaving}, {@code slowMs}, {@code cutAfter} (cuts the connection
- * after so many tokens; the run goes on), {@code cutOnce} (so many requests are cut), {@code
- * failRun}, {@code wrongAttempt}, {@code missToken}, {@code noEndMark}, {@code eventLagMs}, {@code
- * dropEvents}, {@code failExportAfter}, {@code loadLag} (reports no load).
+ * <p>Faults, see {@link Faults}:
+ *
+ * <ul>
+ *   <li>{@code refuse}: rejects completions with 503 before they run.
+ *   <li>{@code leaving}: rejects completions as a server that is shutting down.
+ *   <li>{@code slowMs}: adds this time to each prefill.
+ *   <li>{@code cutAfter}: closes the connection after this many tokens, while the run continues.
+ *       Needs {@code cutOnce}.
+ *   <li>{@code cutOnce}: the number of requests that {@code cutAfter} applies to.
+ *   <li>{@code failRun}: ends runs with an error.
+ *   <li>{@code wrongAttempt}: the number of events that name another attempt.
+ *   <li>{@code missToken}: the number of streams that lack the token at offset 2.
+ *   <li>{@code noEndMark}: the number of streams that end without {@code [DONE]}.
+ *   <li>{@code eventLagMs}: delay of cache events.
+ *   <li>{@code dropEvents}: the number of coming cache events that each clear the event log.
+ *   <li>{@code failExportAfter}: makes exports fail after this many blocks.
+ *   <li>{@code skipChecks}: imports blocks without verifying them.
+ *   <li>{@code loadLag}: omits the load from answers.
+ * </ul>
  */
 public final class EngineServer implements AutoCloseable {
   private static final int BYTES_PER_TOKEN = 4;
@@ -75,7 +91,7 @@
   private volatile boolean loading;
   private long highestEpoch;
 
-  /** Starts an engine on a port; 0 takes a free one. */
+  /** Starts an engine on a port; 0 selects a free one. */
   public EngineServer(int port, EngineOptions options, WeightStore weightStore) {
     this.options = options;
     this.weightStore = weightStore;
@@ -113,22 +129,22 @@
     return faults;
   }
 
-  /** Returns how often each prompt (its last message) was run. */
+  /** Returns how often each prompt ran, by the content of its last message. */
   public Map<String, Integer> runs() {
     return Map.copyOf(runs);
   }
 
-  /** Returns how often blocks of another weight version were about to be used. */
+  /** Returns how often a request would have reused a block of another weight version. */
   public int versionViolations() {
     return cache.versionViolations();
   }
 
-  /** Returns how often a block was used whose content is not that of its key. */
+  /** Returns how often a block was reused whose content does not match its key. */
   public int brokenBlocksUsed() {
     return cache.brokenBlocksUsed();
   }
 
-  /** Returns how many orders with an old epoch were carried out. */
+  /** Returns how many orders with a stale epoch were accepted. */
   public int staleOrders() {
     return staleOrders.get();
   }
@@ -137,15 +153,17 @@
     return weightVersion;
   }
 
-  /** Returns all prompt tokens so far and how many of them were reused. */
+  /**
+   * Returns the number of prompt tokens so far, and how many of them came from the prefix cache.
+   */
   public long[] tokens() {
     return new long[] {promptTokens.get(), cachedTokens.get()};
   }
 
   private void complete(Context ctx) throws IOException, InterruptedException {
     JsonNode body = Json.LENIENT.readTree(ctx.body());
-    JsonNode extra = body.path("landingtrack");
-    String wanted = extra.path("weight_version").asText();
+    JsonNode extension = body.path("landingtrack");
+    String requestedVersion = extension.path("weight_version").asText();
     if (faults.on("leaving")) {
       ctx.status(503).header("X-Not-Run", "true").header("X-Leaving", "true").result("leaving");
       return;
@@ -158,33 +176,33 @@
       ctx.status(503).header("X-Not-Run", "true").result("busy");
       return;
     }
-    if (!wanted.equals(weightVersion)) {
+    if (!requestedVersion.equals(weightVersion)) {
       ObjectNode conflict = Json.LENIENT.createObjectNode();
       conflict.put("weight_version", weightVersion);
       ctx.status(409).header("X-Not-Run", "true").result(conflict.toString());
       return;
     }
-    String attempt = extra.path("attempt").asText();
-    int from = extra.path("resume_offset").asInt(0);
-    EngineStream stream = new EngineStream(attempt, from);
+    String attempt = extension.path("attempt").asText();
+    int startOffset = extension.path("resume_offset").asInt(0);
+    EngineStream stream = new EngineStream(attempt, startOffset);
     streams.put(attempt, stream);
     forgetOldStreams();
     List<String> keys = new ArrayList<>();
-    extra.path("cache_keys").forEach(key -> keys.add(key.asText()));
-    // What an accepted request can reuse stays until it starts, however long others take.
+    extension.path("cache_keys").forEach(key -> keys.add(key.asText()));
+    // Keeps the blocks that a queued request can reuse from being evicted by requests before it.
     cache.pin(keys, ACCEPTED_PIN_MS);
     queued.incrementAndGet();
-    executor.execute(() -> run(stream, body, keys, wanted, from));
-    writer.follow(ctx, stream, from);
+    executor.execute(() -> run(stream, body, keys, requestedVersion, startOffset));
+    writer.follow(ctx, stream, startOffset);
   }
 
   private void forgetOldStreams() {
-    long old = Ticker.SYSTEM.millis() - KEEP_STREAMS_MS;
-    streams.values().removeIf(stream -> stream.endedBefore(old));
+    long cutoffMs = Ticker.SYSTEM.millis() - KEEP_STREAMS_MS;
+    streams.values().removeIf(stream -> stream.endedBefore(cutoffMs));
   }
 
   private void run(
-      EngineStream stream, JsonNode body, List<String> keys, String version, int from) {
+      EngineStream stream, JsonNode body, List<String> keys, String version, int startOffset) {
     boolean inBatch = false;
     try {
       batch.acquire();
@@ -195,7 +213,7 @@
       if (!prefill(stream, prompt, keys, version)) {
         return;
       }
-      decode(stream, prompt, version, from, body.path("max_tokens").asInt(16));
+      decode(stream, prompt, version, startOffset, body.path("max_tokens").asInt(16));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
@@ -246,7 +264,8 @@
   }
 
   /**
-   * The answer is a function of prompt, version and offset, so that a resumed one can be checked.
+   * Returns the token of an answer at an offset. It depends only on prompt, weight version and
+   * offset, so that tests can verify a resumed answer. The first token holds the last message.
    */
   public static String token(String prompt, String version, int offset) {
     if (offset == 0) {
@@ -256,13 +275,14 @@
     return " " + Long.toString(hash & 0xffff, 36);
   }
 
-  private void decode(EngineStream stream, String prompt, String version, int from, int maxTokens) {
-    for (int i = from; i < maxTokens; i++) {
+  private void decode(
+      EngineStream stream, String prompt, String version, int startOffset, int maxTokens) {
+    for (int i = startOffset; i < maxTokens; i++) {
       if (faults.on("failRun")) {
-        stream.end("the run failed on purpose");
+        stream.end("fault failRun: the run failed");
         return;
       }
-      if (i > from) {
+      if (i > startOffset) {
         Faults.pause((long) options.decodeMs());
       }
       if (!stream.add(token(prompt, version, i))) {
@@ -275,7 +295,7 @@
   private void resume(Context ctx) throws IOException, InterruptedException {
     EngineStream stream = streams.get(ctx.pathParam("attempt"));
     if (stream == null) {
-      ctx.status(404).result("no such stream");
+      ctx.status(404).result("no stream for this attempt");
       return;
     }
     writer.follow(ctx, stream, Integer.parseInt(param(ctx, "from", "0")));
@@ -316,7 +336,8 @@
     long epoch = body.path("epoch").asLong();
     if (epoch < highestEpoch) {
       if (options.checksFences()) {
-        ctx.status(412).result("an order with epoch " + highestEpoch + " was seen");
+        ctx.status(412)
+            .result("stale epoch: an order with epoch " + highestEpoch + " was already accepted");
         return;
       }
       staleOrders.incrementAndGet();
@@ -341,7 +362,8 @@
     JsonNode body = Json.LENIENT.readTree(ctx.body());
     long bytes = transfer.importKept(body, weightVersion);
     if (bytes < 0) {
-      ctx.status(502).result("the kept state could not be read");
+      ctx.status(502)
+          .result("the blocks could not be read from the store VM, or failed verification");
       return;
     }
     ctx.contentType("application/json").result("{\"bytes\":" + bytes + "}");
@@ -350,7 +372,8 @@
   private void exportKept(Context ctx) throws IOException {
     @Nullable ObjectNode written = transfer.exportKept(Json.LENIENT.readTree(ctx.body()));
     if (written == null) {
-      ctx.status(502).result("the store VM did not take it");
+      ctx.status(502)
+          .result("the export failed: a block is not cached, or the store VM rejected it");
       return;
     }
     ctx.contentType("application/json").result(written.toString());
--- a/standins/src/main/java/org/landingtrack/standins/EngineStream.java
+++ b/standins/src/main/java/org/landingtrack/standins/EngineStream.java
@@ -20,7 +20,10 @@
 import org.jspecify.annotations.Nullable;
 import org.landingtrack.internal.base.Ticker;
 
-/** One run of a completion on an engine. It goes on when its reader goes away. Thread-safe. */
+/**
+ * Output of one run of a completion on an engine. The run continues when its reader disconnects, so
+ * that another one can resume the stream. Thread-safe.
+ */
 final class EngineStream {
   private final String attempt;
   private final List<String> tokens = new ArrayList<>();
@@ -42,30 +45,33 @@
     return attempt;
   }
 
-  synchronized boolean start(int allPromptTokens, int reusedTokens) {
+  /** Marks the run as started; returns false if it was cancelled before. */
+  synchronized boolean start(int promptTokenCount, int reusedTokenCount) {
     if (cancelled) {
       return false;
     }
     started = true;
-    promptTokens = allPromptTokens;
-    cachedTokens = reusedTokens;
+    promptTokens = promptTokenCount;
+    cachedTokens = reusedTokenCount;
     return true;
   }
 
+  /** Appends a token; returns false if the run is cancelled and must stop. */
   synchronized boolean add(String token) {
     tokens.add(token);
     notifyAll();
     return !cancelled;
   }
 
-  synchronized void end(String why) {
+  /** Ends the run; an empty error means success. */
+  synchronized void end(String errorMessage) {
     done = true;
-    error = why;
+    error = errorMessage;
     endedMs = Ticker.SYSTEM.millis();
     notifyAll();
   }
 
-  /** Cancels; returns true if it had started to run. */
+  /** Cancels the run; returns true if it had started. */
   synchronized boolean cancel() {
     cancelled = true;
     notifyAll();
@@ -76,11 +82,11 @@
     return cancelled;
   }
 
-  synchronized boolean endedBefore(long ms) {
-    return endedMs < ms;
+  synchronized boolean endedBefore(long cutoffMs) {
+    return endedMs < cutoffMs;
   }
 
-  /** Waits for the token at an offset; null once there is none any more. */
+  /** Waits for the token at an offset; returns null if the run ended before it or was cancelled. */
   synchronized @Nullable String token(int offset) throws InterruptedException {
     int index = offset - firstOffset;
     while (index >= tokens.size() && !done && !cancelled) {
@@ -89,6 +95,7 @@
     return index >= 0 && index < tokens.size() ? tokens.get(index) : null;
   }
 
+  /** Returns true if the run ended without an error and was not cancelled. */
   synchronized boolean isWhole() {
     return done && error.isEmpty() && !cancelled;
   }
@@ -97,6 +104,7 @@
     return error;
   }
 
+  /** Returns the numbers of prompt tokens, cached prompt tokens and completion tokens. */
   synchronized int[] usage() {
     return new int[] {promptTokens, cachedTokens, firstOffset + tokens.size()};
   }
--- a/standins/src/main/java/org/landingtrack/standins/EventLog.java
+++ b/standins/src/main/java/org/landingtrack/standins/EventLog.java
@@ -23,8 +23,9 @@
 import org.landingtrack.internal.base.Ticker;
 
 /**
- * Events about blocks, late by the fault {@code eventLagMs} and with a gap after each {@code
- * dropEvents}. Thread-safe.
+ * Bounded log of the blocks that were added and removed, with consecutive sequence numbers. The
+ * fault {@code eventLagMs} delays when events become visible; {@code dropEvents} is the number of
+ * coming events that each clear the log, so that readers see a gap. Thread-safe.
  */
 final class EventLog {
   private static final int MAX_KEPT = 20_000;
@@ -41,9 +42,10 @@
     this.faults = faults;
   }
 
-  synchronized void add(String group, String key, String kept, boolean held) {
+  /** Adds an event; {@code present} is false if the block was removed. */
+  synchronized void add(String group, String key, String manifestId, boolean present) {
     sequence++;
-    entries.addLast(new Entry(sequence, Ticker.SYSTEM.millis(), group, key, kept, held));
+    entries.addLast(new Entry(sequence, Ticker.SYSTEM.millis(), group, key, manifestId, present));
     if (faults.takeOne("dropEvents") || entries.size() > MAX_KEPT) {
       firstKept = sequence + 1;
       entries.clear();
@@ -55,32 +57,41 @@
     return sequence;
   }
 
-  /** Waits for events after a number that are old enough to be seen. */
+  /**
+   * Returns the visible events after a sequence number. Waits for some if there are none, {@code
+   * waitMs} at most. The answer is a gap if events after that number are no longer in the log.
+   */
   synchronized ObjectNode after(long after, long waitMs) throws InterruptedException {
-    long end = Ticker.SYSTEM.millis() + waitMs;
+    long deadlineMs = Ticker.SYSTEM.millis() + waitMs;
     while (true) {
       ObjectNode body = Json.LENIENT.createObjectNode();
       if (after + 1 < firstKept) {
         return body.put("gap", true).put("sequence", after);
       }
-      long seenMs = Ticker.SYSTEM.millis() - (long) faults.of("eventLagMs");
+      long visibleUntilMs = Ticker.SYSTEM.millis() - (long) faults.of("eventLagMs");
       ArrayNode events = body.putArray("events");
       long last = after;
       for (Entry entry : entries) {
-        if (entry.sequence > after && entry.atMs <= seenMs) {
+        if (entry.sequence > after && entry.atMs <= visibleUntilMs) {
           last = entry.sequence;
           add(events, entry.group, entry.key, entry.kept, entry.held);
         }
       }
-      long leftMs = end - Ticker.SYSTEM.millis();
-      if (last > after || leftMs <= 0) {
+      long remainingMs = deadlineMs - Ticker.SYSTEM.millis();
+      if (last > after || remainingMs <= 0) {
         return body.put("sequence", last);
       }
-      wait(Math.min(leftMs, 50));
+      wait(Math.min(remainingMs, 50));
     }
   }
 
-  static void add(ArrayNode events, String group, String key, String kept, boolean held) {
-    events.addObject().put("group", group).put("key", key).put("kept", kept).put("held", held);
+  /** Appends an event to an array; {@code present} is false if the block was removed. */
+  static void add(ArrayNode events, String group, String key, String manifestId, boolean present) {
+    events
+        .addObject()
+        .put("group", group)
+        .put("key", key)
+        .put("kept", manifestId)
+        .put("held", present);
   }
 }
--- a/standins/src/main/java/org/landingtrack/standins/Faults.java
+++ b/standins/src/main/java/org/landingtrack/standins/Faults.java
@@ -23,13 +23,14 @@
 import org.landingtrack.internal.base.Json;
 
 /**
- * Faults of one stand-in by name, each with a number; {@code POST /faults} with a JSON object sets
- * some, 0 switches one off. Thread-safe.
+ * Faults that one stand-in injects. Each has a name and a number (a count, a duration in
+ * milliseconds or another quantity); 0 turns it off. {@code POST /faults} sets those that its JSON
+ * object names. Thread-safe.
  */
 public final class Faults {
   private final Map<String, Double> values = new ConcurrentHashMap<>();
 
-  /** Returns the number of a fault; 0 if it is off. */
+  /** Returns the value of a fault; 0 if it is off. */
   public double of(String name) {
     return values.getOrDefault(name, 0.0);
   }
@@ -39,28 +40,28 @@
     return of(name) != 0;
   }
 
-  /** Sets a fault. */
+  /** Sets the value of a fault; returns this object. */
   public Faults set(String name, double value) {
     values.put(name, value);
     return this;
   }
 
-  /** Uses up one of a counted fault; returns false if none is left. */
+  /** Decrements a fault that is a count; returns false if none is left. */
   public boolean takeOne(String name) {
-    boolean[] taken = {false};
+    boolean[] decremented = {false};
     values.computeIfPresent(
         name,
-        (key, left) -> {
-          if (left < 1) {
-            return left;
+        (key, remaining) -> {
+          if (remaining < 1) {
+            return remaining;
           }
-          taken[0] = true;
-          return left - 1;
+          decremented[0] = true;
+          return remaining - 1;
         });
-    return taken[0];
+    return decremented[0];
   }
 
-  /** Adds the route that switches faults. */
+  /** Adds the HTTP route that sets faults. */
   void addRoute(JavalinConfig config) {
     config.routes.post("/faults", this::switchFaults);
   }
@@ -71,15 +72,16 @@
       body.properties().forEach(entry -> set(entry.getKey(), entry.getValue().asDouble()));
       ctx.result(values.toString());
     } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
-      ctx.status(400).result("not JSON");
+      ctx.status(400).result("the body is not JSON");
     }
   }
 
-  /** Waits as long as a fault says, in milliseconds. */
+  /** Sleeps for the value of a fault in milliseconds. */
   void sleepFor(String name) {
     pause((long) of(name));
   }
 
+  /** Sleeps for a time; returns early, with the interrupt flag set, if interrupted. */
   static void pause(long ms) {
     if (ms <= 0) {
       return;
