--- a/standins/src/main/java/org/landingtrack/standins/KvTransfer.java
+++ b/standins/src/main/java/org/landingtrack/standins/KvTransfer.java
@@ -35,8 +35,9 @@
 import org.landingtrack.internal.base.Json;
 
 /**
- * An engine's side of moving kept state. A block's content stands for its key here; its size on the
- * link is a number, so that no real gigabytes go over loopback.
+ * Exports KV cache blocks of an engine to a store VM and imports them from there. The content of a
+ * block is a short text derived from its key, and its size on the link is only a number, so that no
+ * real gigabytes are sent over the loopback interface. Thread-safe.
  */
 final class KvTransfer {
   private static final MediaType JSON_TYPE = MediaType.get("application/json");
@@ -57,6 +58,7 @@
     this.blockBytes = blockBytes;
   }
 
+  /** Returns the content that the block of a key must have. */
   static String content(String key) {
     return "state-of-" + key;
   }
@@ -65,9 +67,12 @@
     return Hashes.sha256Hex(content).substring(0, 16);
   }
 
-  /** Returns the nominal bytes that were moved; -1 if nothing could be used. */
+  /**
+   * Reads the missing blocks of an order from a store VM and adds them to the cache. Returns their
+   * nominal size in bytes, or -1 if they could not be read or failed verification.
+   */
   long importKept(JsonNode order, String weightVersion) {
-    String store = order.path("store").asText();
+    String storeAddress = order.path("store").asText();
     String manifest = order.path("manifest").asText();
     List<String> keys = new ArrayList<>();
     List<String> missing = new ArrayList<>();
@@ -77,9 +82,10 @@
         missing.add(key.asText());
       }
     }
-    ObjectNode ask = Json.LENIENT.createObjectNode();
-    missing.forEach(ask.putArray("keys")::add);
-    JsonNode answer = post("http://" + store + "/v1/manifests/" + manifest + "/read", ask);
+    ObjectNode readRequest = Json.LENIENT.createObjectNode();
+    missing.forEach(readRequest.putArray("keys")::add);
+    JsonNode answer =
+        post("http://" + storeAddress + "/v1/manifests/" + manifest + "/read", readRequest);
     if (answer == null || (!faults.on("skipChecks") && !isWhole(answer, missing))) {
       refusedBlocks.incrementAndGet();
       return -1;
@@ -89,19 +95,23 @@
     return (long) missing.size() * blockBytes;
   }
 
+  /** Returns the keys of the blocks whose content does not match their key. */
   private static Set<String> broken(JsonNode answer) {
-    Set<String> broken = new HashSet<>();
+    Set<String> corrupt = new HashSet<>();
     for (JsonNode block : answer.path("blocks")) {
       String key = block.path("key").asText();
       if (!block.path("content").asText().equals(content(key))) {
-        broken.add(key);
+        corrupt.add(key);
       }
     }
-    return broken;
+    return corrupt;
   }
 
-  /** Every block is checked after reading: its checksum, and that the manifest still stands. */
-  private boolean isWhole(JsonNode answer, List<String> wanted) {
+  /**
+   * Returns true if all requested blocks were read with the right checksum and content, and if
+   * their manifest was still published after the read.
+   */
+  private boolean isWhole(JsonNode answer, List<String> requestedKeys) {
     if (!answer.path("still_published").asBoolean()) {
       return false;
     }
@@ -113,25 +123,29 @@
       }
       found++;
     }
-    return found == wanted.size();
+    return found == requestedKeys.size();
   }
 
-  /** Writes blocks one after another; null if one did not arrive. */
+  /**
+   * Writes the blocks of an order to a store VM, one after another. Returns their checksums and the
+   * nominal bytes that were sent (none for blocks that were stored already), or null if a block is
+   * not cached or could not be written.
+   */
   @Nullable ObjectNode exportKept(JsonNode order) {
-    String store = order.path("store").asText();
+    String storeAddress = order.path("store").asText();
     ObjectNode result = Json.LENIENT.createObjectNode();
     ArrayNode blocks = result.putArray("blocks");
     long bytes = 0;
     int written = 0;
     for (JsonNode node : order.path("keys")) {
       String key = node.asText();
-      boolean dies = faults.on("failExportAfter") && written >= faults.of("failExportAfter");
-      if (dies || !cache.holds(key)) {
+      boolean fails = faults.on("failExportAfter") && written >= faults.of("failExportAfter");
+      if (fails || !cache.holds(key)) {
         return null;
       }
       ObjectNode block = Json.LENIENT.createObjectNode();
       block.put("key", key).put("content", content(key)).put("bytes", blockBytes);
-      JsonNode answer = post("http://" + store + "/v1/blocks", block);
+      JsonNode answer = post("http://" + storeAddress + "/v1/blocks", block);
       if (answer == null) {
         return null;
       }
--- a/standins/src/main/java/org/landingtrack/standins/ObjectApiServer.java
+++ b/standins/src/main/java/org/landingtrack/standins/ObjectApiServer.java
@@ -29,10 +29,17 @@
 import org.landingtrack.internal.platform.StoredObject;
 
 /**
- * The Object API over HTTP, with its call limits.
+ * HTTP server that stands in for the platform's Object API, with its rate limits for reads and
+ * writes. The objects are in an {@link ObjectStore}.
  *
- * <p>Faults: {@code out} (1: every call answers 503), {@code slowMs}, {@code lostAnswers} (so many
- * writes take effect and then get no answer).
+ * <p>Faults, see {@link Faults}:
+ *
+ * <ul>
+ *   <li>{@code out}: answers every call with 503.
+ *   <li>{@code slowMs}: delay before each call.
+ *   <li>{@code lostAnswers}: the number of writes that take effect but are answered with 504.
+ *   <li>{@code tooOld}: the number of watches that are answered as if their changes were gone.
+ * </ul>
  */
 public final class ObjectApiServer implements AutoCloseable {
   private static final double READS_PER_SECOND = 2_000;
@@ -48,7 +55,7 @@
   private final AtomicLong writeCalls = new AtomicLong();
   private final Javalin http;
 
-  /** Starts on a port; 0 takes a free one. */
+  /** Starts the server on a port; 0 selects a free one. */
   public ObjectApiServer(int port) {
     this.http =
         StandinHttp.start(
@@ -87,16 +94,18 @@
     return store;
   }
 
-  /** Returns the number of reads, watches included, and writes so far. */
+  /** Returns the numbers of reads (with lists and watches) and of writes so far. */
   public long[] calls() {
     return new long[] {readCalls.get(), writeCalls.get()};
   }
 
+  /** An operation of the API. */
   private interface Step {
     void run(Context ctx) throws InterruptedException;
   }
 
-  private void guarded(Context ctx, CallBudget budget, Step step) throws InterruptedException {
+  /** Runs an operation under the rate limit of its kind of call, with the faults that are on. */
+  private void guarded(Context ctx, CallBudget budget, Step operation) throws InterruptedException {
     (budget == reads ? readCalls : writeCalls).incrementAndGet();
     faults.sleepFor("slowMs");
     if (faults.on("out")) {
@@ -104,11 +113,11 @@
       return;
     }
     if (!budget.tryTake(CallClass.LEASE)) {
-      ctx.status(429).result("too many calls");
+      ctx.status(429).result("the rate limit for calls is exceeded");
       return;
     }
     try {
-      step.run(ctx);
+      operation.run(ctx);
     } catch (PlatformException e) {
       answer(ctx, e);
     }
@@ -165,7 +174,7 @@
     ctx.contentType("application/json").result(node.toString());
   }
 
-  /** Answers with a status that says nothing about whether the write took effect. */
+  /** Answers with a status that leaves open whether the write took effect. */
   private static void loseAnswer(Context ctx) {
     ctx.status(504).result("");
   }
--- a/standins/src/main/java/org/landingtrack/standins/ObjectStore.java
+++ b/standins/src/main/java/org/landingtrack/standins/ObjectStore.java
@@ -27,7 +27,10 @@
 import org.landingtrack.internal.platform.PlatformException;
 import org.landingtrack.internal.platform.StoredObject;
 
-/** The content of the Object API: versions, revisions and a bounded log of changes. Thread-safe. */
+/**
+ * In-memory store of the Object API stand-in. An object's version counts its writes; the store's
+ * revision counts all writes. A bounded log of changes serves watches. Thread-safe.
+ */
 public final class ObjectStore {
   private static final int MAX_VALUE_BYTES = 1 << 20;
 
@@ -37,7 +40,7 @@
   private long revision;
   private long oldestKept = 1;
 
-  /** Creates an empty store that keeps so many changes for watches. */
+  /** Creates an empty store that keeps the latest {@code logSize} changes for watches. */
   public ObjectStore(int logSize) {
     this.logSize = logSize;
   }
@@ -46,16 +49,25 @@
     return Optional.ofNullable(objects.get(key));
   }
 
-  /** Writes if the version is the expected one; 0 creates. */
+  /**
+   * Writes an object if its current version is the expected one; {@link ObjectApi#ABSENT} creates
+   * it.
+   *
+   * @throws PlatformException CONFLICT with the current version, or UNAVAILABLE if the value is too
+   *     long
+   */
   public synchronized StoredObject write(String key, String value, long expectedVersion) {
-    StoredObject known = objects.get(key);
-    long current = known == null ? ObjectApi.ABSENT : known.version();
+    StoredObject existing = objects.get(key);
+    long current = existing == null ? ObjectApi.ABSENT : existing.version();
     if (current != expectedVersion) {
       throw new PlatformException(
-          PlatformException.Reason.CONFLICT, "version " + current + " is current", current);
+          PlatformException.Reason.CONFLICT,
+          "version conflict: version " + current + " is current",
+          current);
     }
     if (value.length() > MAX_VALUE_BYTES) {
-      throw new PlatformException(PlatformException.Reason.UNAVAILABLE, "the value is too long");
+      throw new PlatformException(
+          PlatformException.Reason.UNAVAILABLE, "the value is longer than 1,048,576 characters");
     }
     StoredObject written = new StoredObject(key, current + 1, ++revision, value);
     objects.put(key, written);
@@ -67,11 +79,12 @@
     return written;
   }
 
+  /** Returns the objects with a prefix by key, {@code limit} at most, after a key. */
   public synchronized Listing list(String prefix, String after, int limit) {
     List<StoredObject> found = new ArrayList<>();
-    String from = after.isEmpty() ? prefix : after;
+    String startKey = after.isEmpty() ? prefix : after;
     for (Map.Entry<String, StoredObject> entry :
-        objects.tailMap(from, after.isEmpty()).entrySet()) {
+        objects.tailMap(startKey, after.isEmpty()).entrySet()) {
       if (!entry.getKey().startsWith(prefix) || found.size() == limit) {
         break;
       }
@@ -80,20 +93,27 @@
     return new Listing(revision, found);
   }
 
-  /** Waits for changes after a revision. */
+  /**
+   * Returns the changes of objects with a prefix after a revision; waits for some if there are
+   * none.
+   *
+   * @throws PlatformException TOO_OLD if changes after that revision are no longer in the log
+   */
   public synchronized Listing watch(String prefix, long after, long waitMs)
       throws InterruptedException {
-    long end = System.nanoTime() + waitMs * 1_000_000;
+    long deadlineNs = System.nanoTime() + waitMs * 1_000_000;
     while (true) {
       if (after + 1 < oldestKept) {
-        throw new PlatformException(PlatformException.Reason.TOO_OLD, "changes are gone");
+        throw new PlatformException(
+            PlatformException.Reason.TOO_OLD,
+            "changes after this revision are no longer in the log");
       }
       List<StoredObject> changes = changesAfter(prefix, after);
-      long leftMs = (end - System.nanoTime()) / 1_000_000;
-      if (!changes.isEmpty() || leftMs <= 0) {
+      long remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000;
+      if (!changes.isEmpty() || remainingMs <= 0) {
         return new Listing(revision, changes);
       }
-      wait(leftMs);
+      wait(remainingMs);
     }
   }
 
--- a/standins/src/main/java/org/landingtrack/standins/PlainServer.java
+++ b/standins/src/main/java/org/landingtrack/standins/PlainServer.java
@@ -22,10 +22,17 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A plain service: answers with what it was asked, and counts how often each request id ran.
+ * HTTP server that stands in for a backend server of a plain service. It answers with its own name
+ * and the path of the request, and counts how often each request ran.
  *
- * <p>Faults: {@code slowMs}, {@code refuse} (503, says not run), {@code dropAfterRun} (so many
- * calls run and then get a cut connection).
+ * <p>Faults, see {@link Faults}:
+ *
+ * <ul>
+ *   <li>{@code slowMs}: delay before each request runs.
+ *   <li>{@code refuse}: rejects requests with 503 and states that they were not run.
+ *   <li>{@code dropAfterRun}: the number of requests that run but get a truncated response on a
+ *       connection that is then closed.
+ * </ul>
  */
 public final class PlainServer implements AutoCloseable {
   private final String name;
@@ -33,6 +40,7 @@
   private final Map<String, Integer> runs = new ConcurrentHashMap<>();
   private final Javalin http;
 
+  /** Starts the server on a port; 0 selects a free one. */
   public PlainServer(String name, int port) {
     this.name = name;
     this.http =
@@ -58,7 +66,7 @@
     return faults;
   }
 
-  /** Returns how often each key ran; the key is the body, or the path if there is none. */
+  /** Returns how often each request ran, by its body, or by its path if the body is empty. */
   public Map<String, Integer> runs() {
     return Map.copyOf(runs);
   }
@@ -78,12 +86,12 @@
     ctx.result("{\"server\":\"" + name + "\",\"path\":\"" + ctx.path() + "\"}");
   }
 
-  /** Declares more than it sends, so that the caller sees a cut answer. */
+  /** Sends less than it declares, so that the client sees a truncated response. */
   private static java.io.IOException abort(Context ctx) throws java.io.IOException {
     ctx.res().setContentLength(1_000);
     ctx.res().getOutputStream().write('{');
     ctx.res().flushBuffer();
-    return new java.io.IOException("cut on purpose");
+    return new java.io.IOException("fault dropAfterRun: the response is truncated");
   }
 
   @Override
--- a/standins/src/main/java/org/landingtrack/standins/StandinHttp.java
+++ b/standins/src/main/java/org/landingtrack/standins/StandinHttp.java
@@ -20,12 +20,13 @@
 import java.util.function.Consumer;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** Starts the HTTP servers of stand-ins. */
+/** Starts the HTTP servers of the stand-ins, with one configuration for all. */
 final class StandinHttp {
   private static final int MAX_THREADS = 400;
 
   private StandinHttp() {}
 
+  /** Starts a server with the given routes on the loopback interface; port 0 selects a free one. */
   static Javalin start(int port, Consumer<JavalinConfig> routes) {
     return Javalin.create(
             config -> {
--- a/standins/src/main/java/org/landingtrack/standins/Standins.java
+++ b/standins/src/main/java/org/landingtrack/standins/Standins.java
@@ -25,8 +25,8 @@
 import org.landingtrack.internal.base.Logs;
 
 /**
- * Runs one stand-in as a process, for example {@code engine --port 8000 --weight-version v1}. It
- * says its port on standard output and runs until it is ended.
+ * Main class that runs one stand-in as a process, for example {@code engine --port 8000
+ * --weight-version v1}. It prints its port on standard output and runs until it is killed.
  */
 public final class Standins {
   private static final String USAGE =
@@ -34,16 +34,16 @@
       usage: standins KIND [OPTIONS]
       kinds: object-api, vm-list, engine, store, plain
       options:
-        --port N               port; 0 takes a free one (default)
+        --port N               port to listen on; 0 selects a free one (default)
         --name NAME            name in answers (plain)
-        --weight-version NAME  weights that an engine starts with
-        --cache-blocks N       blocks of an engine's cache
-        --prefill-us N         microseconds to compute a prompt token
-        --decode-ms N          milliseconds between tokens
-        --concurrent N         requests in an engine's batch
-        --no-fences            the engine does not check epochs
-        --link-mb-s N          speed of a store VM's link in MB a second
-        --capacity-mb N        size of a store VM
+        --weight-version NAME  version of the weights that an engine starts with
+        --cache-blocks N       capacity of an engine's prefix cache in blocks
+        --prefill-us N         prefill time per prompt token in microseconds
+        --decode-ms N          time between the tokens of an answer in milliseconds
+        --concurrent N         maximum number of requests in an engine's batch
+        --no-fences            the engine accepts orders with a stale epoch
+        --link-mb-s N          bandwidth of a store VM's link in MB per second
+        --capacity-mb N        capacity of a store VM in MB
       """;
   private static final int USAGE_EXIT = 2;
 
@@ -56,9 +56,9 @@
       System.exit(args.length == 0 ? USAGE_EXIT : 0);
     }
     try {
-      CommandLine line =
+      CommandLine commandLine =
           new DefaultParser().parse(options(), Arrays.copyOfRange(args, 1, args.length));
-      int port = start(args[0], line);
+      int port = start(args[0], commandLine);
       System.out.println(port);
     } catch (ParseException | IllegalArgumentException e) {
       System.err.println("standins: " + e.getMessage());
@@ -86,39 +86,41 @@
     return options.addOption(Option.builder().longOpt("no-fences").get());
   }
 
-  private static int start(String kind, CommandLine line) {
-    int port = number(line, "port", 0);
+  private static int start(String kind, CommandLine commandLine) {
+    int port = number(commandLine, "port", 0);
     return switch (kind) {
       case "object-api" -> new ObjectApiServer(port).port();
       case "vm-list" -> new VmListServer(port).port();
-      case "plain" -> new PlainServer(line.getOptionValue("name", "plain"), port).port();
-      case "engine" -> new EngineServer(port, engine(line), new WeightStore()).port();
-      case "store" -> new StoreServer(port, store(line)).port();
-      default -> throw new IllegalArgumentException("unknown kind '" + kind + "'");
+      case "plain" -> new PlainServer(commandLine.getOptionValue("name", "plain"), port).port();
+      case "engine" -> new EngineServer(port, engine(commandLine), new WeightStore()).port();
+      case "store" -> new StoreServer(port, store(commandLine)).port();
+      default ->
+          throw new IllegalArgumentException(
+              "unknown kind '" + kind + "'; expected object-api, vm-list, engine, store or plain");
     };
   }
 
-  private static EngineOptions engine(CommandLine line) {
+  private static EngineOptions engine(CommandLine commandLine) {
     return new EngineOptions(
-        number(line, "cache-blocks", 256),
-        number(line, "prefill-us", 50) / 1000.0,
-        number(line, "decode-ms", 10),
-        number(line, "concurrent", 8),
+        number(commandLine, "cache-blocks", 256),
+        number(commandLine, "prefill-us", 50) / 1000.0,
+        number(commandLine, "decode-ms", 10),
+        number(commandLine, "concurrent", 8),
         64,
-        !line.hasOption("no-fences"),
+        !commandLine.hasOption("no-fences"),
         1_000,
         800,
-        line.getOptionValue("weight-version", "v1"));
+        commandLine.getOptionValue("weight-version", "v1"));
   }
 
-  private static StoreServer.Options store(CommandLine line) {
-    long capacity = number(line, "capacity-mb", 4_096) * 1_000_000L;
+  private static StoreServer.Options store(CommandLine commandLine) {
+    long capacity = number(commandLine, "capacity-mb", 4_096) * 1_000_000L;
     return new StoreServer.Options(
-        capacity, capacity / 4, number(line, "link-mb-s", 1_000) * 1_000.0, 500_000);
+        capacity, capacity / 4, number(commandLine, "link-mb-s", 1_000) * 1_000.0, 500_000);
   }
 
-  private static int number(CommandLine line, String name, int fallback) {
-    String text = line.getOptionValue(name);
+  private static int number(CommandLine commandLine, String name, int fallback) {
+    String text = commandLine.getOptionValue(name);
     return text == null ? fallback : Integer.parseInt(text);
   }
 }
--- a/standins/src/main/java/org/landingtrack/standins/StoreServer.java
+++ b/standins/src/main/java/org/landingtrack/standins/StoreServer.java
@@ -32,26 +32,37 @@
 import org.landingtrack.internal.base.Ticker;
 
 /**
- * A store VM: blocks in a memory and a disk tier behind a limited link, and manifests that make
- * them readable.
+ * HTTP server that stands in for a store VM. It stores KV cache blocks in a memory tier and a disk
+ * tier behind a link of limited bandwidth. Blocks can be read once a published manifest lists them,
+ * and are deleted when the last manifest that lists them is withdrawn.
  *
- * <p>Faults: {@code full}, {@code partialWrite} (so many blocks are cut short but acknowledged),
- * {@code slowLink} (divides the link's speed), {@code freeWhileRead} (so many reads see their
- * manifest withdrawn half-way), {@code eventLagMs}, {@code dropEvents}.
+ * <p>Faults, see {@link Faults}:
+ *
+ * <ul>
+ *   <li>{@code full}: rejects writes with 507.
+ *   <li>{@code partialWrite}: the number of writes that store half a block but are acknowledged.
+ *   <li>{@code slowLink}: divides the bandwidth of the link by this value.
+ *   <li>{@code freeWhileRead}: the number of reads during which the manifest is withdrawn.
+ *   <li>{@code eventLagMs}: delay of block events.
+ *   <li>{@code dropEvents}: the number of coming block events that each clear the event log.
+ * </ul>
  */
 public final class StoreServer implements AutoCloseable {
   private record Block(String content, long bytes, boolean inMemory) {}
 
+  /** A block of a manifest with the checksum that its content must have. */
   private record BlockName(String key, String checksum) {}
 
   private record Manifest(
       String id, String group, List<BlockName> blocks, long bytes, AtomicLong lastReadMs) {}
 
   /**
-   * What a store VM is like.
+   * Settings of a {@link StoreServer}.
    *
-   * @param linkBytesPerMs speed of its link, shared by all moves
-   * @param diskBytesPerMs speed of the disk tier
+   * @param capacityBytes capacity of both tiers together
+   * @param memoryBytes capacity of the memory tier
+   * @param linkBytesPerMs bandwidth of its link, shared by all transfers
+   * @param diskBytesPerMs read bandwidth of the disk tier
    */
   public record Options(
       long capacityBytes, long memoryBytes, double linkBytesPerMs, double diskBytesPerMs) {}
@@ -67,6 +78,7 @@
   private long usedBytes;
   private long memoryUsed;
 
+  /** Starts the server on a port; 0 selects a free one. */
   public StoreServer(int port, Options options) {
     this.options = options;
     this.http =
@@ -97,7 +109,7 @@
     return faults;
   }
 
-  /** Returns the bytes that went over the link so far. */
+  /** Returns the nominal bytes transferred over the link so far. */
   public long linkBytes() {
     return linkBytes.get();
   }
@@ -107,12 +119,13 @@
     return manifests.size();
   }
 
+  /** Takes as long as the transfer of this many bytes takes; transfers run one after another. */
   private void move(long bytes, boolean fromDisk) {
     link.lock();
     try {
       double speed = options.linkBytesPerMs() / Math.max(1, faults.of("slowLink"));
-      double ms = bytes / speed + (fromDisk ? bytes / options.diskBytesPerMs() : 0);
-      Faults.pause((long) ms);
+      double durationMs = bytes / speed + (fromDisk ? bytes / options.diskBytesPerMs() : 0);
+      Faults.pause((long) durationMs);
       linkBytes.addAndGet(bytes);
     } finally {
       link.unlock();
@@ -148,24 +161,25 @@
     ctx.result("{\"moved\":" + bytes + "}");
   }
 
+  /** Makes blocks readable under a manifest; fails with 409 if one of them is not stored. */
   private synchronized void publish(Context ctx) throws IOException {
     JsonNode body = Json.LENIENT.readTree(ctx.body());
     String id = ctx.pathParam("id");
-    List<BlockName> names = new ArrayList<>();
+    List<BlockName> refs = new ArrayList<>();
     long bytes = 0;
     for (JsonNode node : body.path("blocks")) {
-      BlockName name = new BlockName(node.path("key").asText(), node.path("checksum").asText());
-      Block block = blocks.get(name.key());
+      BlockName ref = new BlockName(node.path("key").asText(), node.path("checksum").asText());
+      Block block = blocks.get(ref.key());
       if (block == null) {
-        ctx.status(409).result("block " + name.key() + " is not here");
+        ctx.status(409).result("block " + ref.key() + " is not stored");
         return;
       }
-      names.add(name);
+      refs.add(ref);
       bytes += block.bytes();
     }
     String group = body.path("group").asText();
-    manifests.put(id, new Manifest(id, group, names, bytes, new AtomicLong(now())));
-    names.forEach(name -> events.add(group, name.key(), id, true));
+    manifests.put(id, new Manifest(id, group, refs, bytes, new AtomicLong(now())));
+    refs.forEach(ref -> events.add(group, ref.key(), id, true));
     ctx.result("{}");
   }
 
@@ -174,18 +188,19 @@
     ctx.result("{}");
   }
 
+  /** Removes a manifest and the blocks that no other manifest refers to. */
   private synchronized void remove(String id) {
     Manifest manifest = manifests.remove(id);
     if (manifest == null) {
       return;
     }
-    manifest.blocks().forEach(name -> events.add(manifest.group(), name.key(), id, false));
-    for (BlockName name : manifest.blocks()) {
-      if (!isReferenced(name.key())) {
-        Block freed = blocks.remove(name.key());
-        if (freed != null) {
-          usedBytes -= freed.bytes();
-          memoryUsed -= freed.inMemory() ? freed.bytes() : 0;
+    manifest.blocks().forEach(ref -> events.add(manifest.group(), ref.key(), id, false));
+    for (BlockName ref : manifest.blocks()) {
+      if (!isReferenced(ref.key())) {
+        Block removed = blocks.remove(ref.key());
+        if (removed != null) {
+          usedBytes -= removed.bytes();
+          memoryUsed -= removed.inMemory() ? removed.bytes() : 0;
         }
       }
     }
@@ -193,8 +208,8 @@
 
   private boolean isReferenced(String key) {
     for (Manifest manifest : manifests.values()) {
-      for (BlockName name : manifest.blocks()) {
-        if (name.key().equals(key)) {
+      for (BlockName ref : manifest.blocks()) {
+        if (ref.key().equals(key)) {
           return true;
         }
       }
@@ -210,19 +225,19 @@
     synchronized (this) {
       Manifest manifest = manifests.get(id);
       if (manifest == null) {
-        ctx.status(404).result("no such manifest");
+        ctx.status(404).result("no manifest with this id");
         return;
       }
       manifest.lastReadMs().set(now());
       ArrayNode out = answer.putArray("blocks");
-      for (JsonNode wanted : Json.LENIENT.readTree(ctx.body()).path("keys")) {
-        for (BlockName name : manifest.blocks()) {
-          Block block = blocks.get(name.key());
-          if (block != null && name.key().equals(wanted.asText())) {
+      for (JsonNode requestedKey : Json.LENIENT.readTree(ctx.body()).path("keys")) {
+        for (BlockName ref : manifest.blocks()) {
+          Block block = blocks.get(ref.key());
+          if (block != null && ref.key().equals(requestedKey.asText())) {
             out.addObject()
-                .put("key", name.key())
+                .put("key", ref.key())
                 .put("content", block.content())
-                .put("checksum", name.checksum());
+                .put("checksum", ref.checksum());
             bytes += block.bytes();
             fromDisk |= !block.inMemory();
           }
@@ -239,12 +254,13 @@
     ctx.contentType("application/json").result(answer.toString());
   }
 
+  /** Lists the manifests, the least recently read one first. */
   private synchronized void listManifests(Context ctx) {
-    List<Manifest> ordered = new ArrayList<>(manifests.values());
-    ordered.sort(Comparator.comparingLong(manifest -> manifest.lastReadMs().get()));
+    List<Manifest> sorted = new ArrayList<>(manifests.values());
+    sorted.sort(Comparator.comparingLong(manifest -> manifest.lastReadMs().get()));
     ObjectNode body = Json.LENIENT.createObjectNode();
     ArrayNode list = body.putArray("manifests");
-    for (Manifest manifest : ordered) {
+    for (Manifest manifest : sorted) {
       list.addObject()
           .put("id", manifest.id())
           .put("group", manifest.group())
@@ -275,8 +291,8 @@
     body.put("sequence", events.sequence());
     ArrayNode list = body.putArray("events");
     for (Manifest manifest : manifests.values()) {
-      for (BlockName name : manifest.blocks()) {
-        EventLog.add(list, manifest.group(), name.key(), manifest.id(), true);
+      for (BlockName ref : manifest.blocks()) {
+        EventLog.add(list, manifest.group(), ref.key(), manifest.id(), true);
       }
     }
     ctx.contentType("application/json").result(body.toString());
--- a/standins/src/main/java/org/landingtrack/standins/StreamWriter.java
+++ b/standins/src/main/java/org/landingtrack/standins/StreamWriter.java
@@ -26,32 +26,37 @@
 import org.jspecify.annotations.Nullable;
 import org.landingtrack.internal.base.Json;
 
-/** Sends an engine's streams as server-sent events, with the faults that a stream can have. */
+/** Writes an engine's streams as server-sent events, with the faults of streams. Thread-safe. */
 final class StreamWriter {
   private final Faults faults;
   private final AtomicLong queuedTokens;
   private final AtomicInteger running;
 
-  /** Creates a writer that reports the given load with the answers. */
+  /** Creates a writer that adds the given load to the answers. */
   StreamWriter(Faults faults, AtomicLong queuedTokens, AtomicInteger running) {
     this.faults = faults;
     this.queuedTokens = queuedTokens;
     this.running = running;
   }
 
-  /** Sends a stream from an offset on, until it ends. */
-  void follow(Context ctx, EngineStream stream, int from) throws IOException, InterruptedException {
+  /**
+   * Writes the tokens of a stream from an offset on until it ends, then its usage and the end mark,
+   * or an error event if the run failed or was cancelled.
+   */
+  void follow(Context ctx, EngineStream stream, int startOffset)
+      throws IOException, InterruptedException {
     boolean cut = faults.on("cutAfter") && faults.takeOne("cutOnce");
     ctx.res().setContentType("text/event-stream");
     OutputStream out = ctx.res().getOutputStream();
     ctx.res().flushBuffer();
-    for (int offset = from; ; offset++) {
+    for (int offset = startOffset; ; offset++) {
       @Nullable String token = stream.token(offset);
       if (token == null) {
         break;
       }
-      if (cut && offset - from >= faults.of("cutAfter")) {
-        throw new UncheckedIOException(new IOException("cut on purpose"));
+      if (cut && offset - startOffset >= faults.of("cutAfter")) {
+        throw new UncheckedIOException(
+            new IOException("fault cutAfter: the connection is closed during the stream"));
       }
       if (faults.on("missToken") && offset == 2 && faults.takeOne("missToken")) {
         continue;
@@ -90,15 +95,15 @@
   }
 
   private ObjectNode usage(EngineStream stream) {
-    int[] used = stream.usage();
+    int[] counts = stream.usage();
     ObjectNode chunk = Json.LENIENT.createObjectNode();
     chunk.put("attempt", stream.attempt());
     addLoad(chunk);
     chunk
         .putObject("usage")
-        .put("prompt_tokens", used[0])
-        .put("cached_tokens", used[1])
-        .put("completion_tokens", used[2]);
+        .put("prompt_tokens", counts[0])
+        .put("cached_tokens", counts[1])
+        .put("completion_tokens", counts[2]);
     return chunk;
   }
 
--- a/standins/src/main/java/org/landingtrack/standins/VmListServer.java
+++ b/standins/src/main/java/org/landingtrack/standins/VmListServer.java
@@ -26,18 +26,21 @@
 import org.landingtrack.internal.base.Ticker;
 
 /**
- * The VM list. {@code PUT /vms} sets it; answers lag behind by the fault {@code lagMs}; the fault
- * {@code out} makes it answer 503.
+ * HTTP server that stands in for the platform's VM list. {@code PUT /vms} sets the list. The fault
+ * {@code lagMs} delays when a new list becomes visible; the fault {@code out} answers reads with
+ * 503.
  */
 public final class VmListServer implements AutoCloseable {
   private static final int MAX_HISTORY = 1_000;
 
+  /** A list and the time at which it was set. */
   private record Version(long atMs, JsonNode vms) {}
 
   private final Deque<Version> history = new ArrayDeque<>();
   private final Faults faults = new Faults();
   private final Javalin http;
 
+  /** Starts the server with an empty list on a port; 0 selects a free one. */
   public VmListServer(int port) {
     set(Json.LENIENT.createArrayNode());
     this.http =
@@ -62,7 +65,7 @@
     return faults;
   }
 
-  /** Sets the list; it is seen after the lag. */
+  /** Sets the list; it becomes visible after the lag. */
   public synchronized void set(ArrayNode vms) {
     history.addLast(new Version(Ticker.SYSTEM.millis(), vms));
     if (history.size() > MAX_HISTORY) {
@@ -74,7 +77,7 @@
     try {
       set((ArrayNode) Json.LENIENT.readTree(ctx.body()).path("vms"));
     } catch (com.fasterxml.jackson.core.JsonProcessingException | ClassCastException e) {
-      ctx.status(400).result("not a list of VMs");
+      ctx.status(400).result("the field vms must be a list of VMs");
     }
   }
 
@@ -83,11 +86,11 @@
       ctx.status(503);
       return;
     }
-    long seen = Ticker.SYSTEM.millis() - (long) faults.of("lagMs");
+    long visibleUntilMs = Ticker.SYSTEM.millis() - (long) faults.of("lagMs");
     JsonNode vms = history.getFirst().vms;
-    for (Version version : history) {
-      if (version.atMs <= seen) {
-        vms = version.vms;
+    for (Version snapshot : history) {
+      if (snapshot.atMs <= visibleUntilMs) {
+        vms = snapshot.vms;
       }
     }
     ObjectNode body = Json.LENIENT.createObjectNode();
--- a/standins/src/main/java/org/landingtrack/standins/WeightStore.java
+++ b/standins/src/main/java/org/landingtrack/standins/WeightStore.java
@@ -17,25 +17,31 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The weight store: loads take longer when more than three run at once. Thread-safe. */
+/**
+ * Stands in for the store that engines load weights from: loads take longer when more than three
+ * run at once. Thread-safe.
+ */
 public final class WeightStore {
   private static final int FREE_LOADS = 3;
 
   private final AtomicInteger loads = new AtomicInteger();
   private final AtomicInteger most = new AtomicInteger();
 
-  /** Takes as long as a load takes now. */
+  /**
+   * Blocks for the duration of a load: {@code loadMs}, twice as long for the fourth concurrent
+   * load, three times as long for the fifth, and so on.
+   */
   void load(long loadMs) {
-    int now = loads.incrementAndGet();
-    most.accumulateAndGet(now, Math::max);
+    int concurrent = loads.incrementAndGet();
+    most.accumulateAndGet(concurrent, Math::max);
     try {
-      Faults.pause(loadMs * Math.max(1, now - FREE_LOADS + 1));
+      Faults.pause(loadMs * Math.max(1, concurrent - FREE_LOADS + 1));
     } finally {
       loads.decrementAndGet();
     }
   }
 
-  /** Returns the most loads that ever ran at once. */
+  /** Returns the largest number of loads that ran at the same time. */
   public int most() {
     return most.get();
   }
--- a/standins/src/test/java/org/landingtrack/standins/BlockCacheTest.java
+++ b/standins/src/test/java/org/landingtrack/standins/BlockCacheTest.java
@@ -21,21 +21,21 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What the engine stand-in keeps when its memory is full. */
+/** Tests which blocks {@link BlockCache} evicts when it is full. */
 public final class BlockCacheTest {
   private static final long LONG_MS = 3_600_000;
 
   @DataProvider
   public Object[][] pins() {
     return new Object[][] {
-      // pinned for, used before it is full, whether it is still there afterwards
+      // pin duration, whether it is reused before the cache is full, whether it remains afterwards
       {0L, false, false},
       {LONG_MS, false, true},
       {LONG_MS, true, false},
     };
   }
 
-  /** Pinned blocks stay until the request that they wait for has used them. */
+  /** A pinned block is evicted after others, until the request that it is pinned for reused it. */
   @Test(dataProvider = "pins")
   public void pinnedBlocksOutliveOthers(long pinMs, boolean used, boolean stays) {
     BlockCache cache = new BlockCache(2, new EventLog(new Faults()));
@@ -56,7 +56,7 @@
       cache.put(List.of(key), "v1");
       cache.pin(List.of(key), LONG_MS);
     }
-    long held = List.of("a", "b", "c", "d").stream().filter(cache::holds).count();
-    assertEquals(held, 2);
+    long remaining = List.of("a", "b", "c", "d").stream().filter(cache::holds).count();
+    assertEquals(remaining, 2);
   }
 }
