--- a/standins/src/main/java/org/landingtrack/standins/Standins.java
+++ b/standins/src/main/java/org/landingtrack/standins/Standins.java
@@ -96,7 +96,9 @@
       case "store" -> new StoreServer(port, store(commandLine)).port();
       default ->
           throw new IllegalArgumentException(
-              "unknown kind '" + kind + "'; expected object-api, vm-list, engine, store or plain");
+              "unknown kind (expected object-api, vm-list, engine, store or plain): '"
+                  + kind
+                  + "'");
     };
   }
 
