--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/CommandLineProgram.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/CommandLineProgram.java
@@ -28,7 +28,10 @@
 import org.landingtrack.internal.base.Logs;
 import org.landingtrack.internal.settings.SettingsException;
 
-/** Parses the command line and runs one program. */
+/**
+ * Parses a command line of {@code landingtrack} and runs the program that it names. Prints results
+ * and errors to the given streams.
+ */
 public final class CommandLineProgram {
   private static final String VERSION = "landingtrack 0.1.0";
   private static final String USAGE =
@@ -36,11 +39,11 @@
       usage: landingtrack PROGRAM [OPTIONS] [ARGUMENTS]
 
       programs:
-        gateway --settings FILE           serve callers
-        controller --settings FILE        keep gateways informed, serve operators
-        ctl --controller ADDRESS VERB …   drive the system
+        gateway --settings FILE           serve the requests of callers
+        controller --settings FILE        distribute the configuration to gateways, serve operators
+        ctl --controller ADDRESS VERB …   operate the system through a controller
         check FILE                        check a settings file
-        keys VERB …                       make keys and certificates
+        keys VERB …                       create keys and certificates
 
       options of every program: --help, --version
       exit codes: 0 done, 1 failed, 2 wrong usage or settings
@@ -54,7 +57,7 @@
     this.err = err;
   }
 
-  /** Runs a command line and returns the exit code. */
+  /** Runs a command line and returns the exit code, one of {@link ExitCodes}. */
   public int run(String... args) {
     try {
       return dispatch(args);
@@ -72,7 +75,7 @@
 
   private int dispatch(String[] args) throws InterruptedException {
     if (args.length == 0) {
-      throw new UsageException("a program is missing\n" + USAGE);
+      throw new UsageException("no PROGRAM is given\n" + USAGE);
     }
     String program = args[0];
     if (program.equals("--help")) {
@@ -83,8 +86,8 @@
       out.println(VERSION);
       return ExitCodes.DONE;
     }
-    CommandLine line = parse(program, args);
-    if (line.hasOption("help")) {
+    CommandLine commandLine = parse(program, args);
+    if (commandLine.hasOption("help")) {
       out.print(USAGE);
       if (program.equals("ctl")) {
         out.print("\n" + Ctl.VERBS + "\noptions of ctl:\n" + describe(Ctl.options()));
@@ -94,28 +97,28 @@
       }
       return ExitCodes.DONE;
     }
-    if (line.hasOption("version")) {
+    if (commandLine.hasOption("version")) {
       out.println(VERSION);
       return ExitCodes.DONE;
     }
-    return run(program, line);
+    return run(program, commandLine);
   }
 
-  private int run(String program, CommandLine line) throws InterruptedException {
-    List<String> words = line.getArgList();
+  private int run(String program, CommandLine commandLine) throws InterruptedException {
+    List<String> arguments = commandLine.getArgList();
     return switch (program) {
-      case "gateway" -> ProcessCommand.gateway(settings(line));
-      case "controller" -> ProcessCommand.controller(settings(line));
+      case "gateway" -> ProcessCommand.gateway(settings(commandLine));
+      case "controller" -> ProcessCommand.controller(settings(commandLine));
       case "check" -> {
-        if (words.size() != 1) {
+        if (arguments.size() != 1) {
           throw new UsageException("check needs one FILE");
         }
-        yield ProcessCommand.check(Path.of(words.get(0)));
+        yield ProcessCommand.check(Path.of(arguments.get(0)));
       }
-      case "keys" -> Keys.run(line, words, out);
+      case "keys" -> Keys.run(commandLine, arguments, out);
       case "ctl" -> {
         Logs.configure("text", "error");
-        yield Ctl.run(line, words, out, err);
+        yield Ctl.run(commandLine, arguments, out, err);
       }
       default -> throw new UsageException("unknown program '" + program + "'\n" + USAGE);
     };
@@ -128,15 +131,15 @@
           case "keys" -> Keys.options();
           default -> new Options();
         };
-    options.addOption(Option.builder("h").longOpt("help").desc("show the usage").get());
-    options.addOption(Option.builder().longOpt("version").desc("show the version").get());
+    options.addOption(Option.builder("h").longOpt("help").desc("print the usage").get());
+    options.addOption(Option.builder().longOpt("version").desc("print the version").get());
     if (program.equals("gateway") || program.equals("controller")) {
       options.addOption(
           Option.builder().longOpt("settings").hasArg().argName("FILE").desc("settings").get());
     }
-    String[] rest = Arrays.copyOfRange(args, 1, args.length);
+    String[] programArgs = Arrays.copyOfRange(args, 1, args.length);
     try {
-      return new DefaultParser().parse(options, rest);
+      return new DefaultParser().parse(options, programArgs);
     } catch (ParseException e) {
       throw new UsageException(String.valueOf(e.getMessage()));
     }
@@ -145,15 +148,15 @@
   private static String describe(Options options) {
     StringBuilder text = new StringBuilder();
     for (Option option : options.getOptions()) {
-      String arg = option.hasArg() ? " " + option.getArgName() : "";
+      String argument = option.hasArg() ? " " + option.getArgName() : "";
       text.append(
-          String.format("  --%-28s %s%n", option.getLongOpt() + arg, option.getDescription()));
+          String.format("  --%-28s %s%n", option.getLongOpt() + argument, option.getDescription()));
     }
     return text.toString();
   }
 
-  private static Path settings(CommandLine line) {
-    String file = line.getOptionValue("settings");
+  private static Path settings(CommandLine commandLine) {
+    String file = commandLine.getOptionValue("settings");
     if (file == null) {
       throw new UsageException("--settings FILE is missing");
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/Ctl.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/Ctl.java
@@ -50,7 +50,10 @@
 import org.landingtrack.operators.v1.RolloutRequest;
 import org.landingtrack.operators.v1.StatusRequest;
 
-/** The operators' command {@code landingtrack ctl}. */
+/**
+ * Implements the command {@code landingtrack ctl}, with which operators read and change the catalog
+ * and the state of the system through a controller.
+ */
 final class Ctl {
   static final String VERBS =
       """
@@ -59,10 +62,10 @@
         get KIND NAME              show one object
         list KIND                  list the objects of a kind
         delete KIND NAME           delete one object
-        drain NAME, undrain NAME   stop or resume new work for a backend server
-        load SERVICE VERSION       roll a service over to a weight version
-        rollback SERVICE           roll it back to the version before
-        status                     show the controller and its members
+        drain NAME, undrain NAME   stop or resume new requests to a backend server
+        load SERVICE VERSION       roll a service over to another weight version
+        rollback SERVICE           roll a service back to its previous weight version
+        status                     show a controller and the members that it knows
         explain SUBJECT            explain a request id or KIND/NAME
         audit [KIND]               show the last change of each object, newest first
         audit KIND NAME            show all changes of one object, newest first
@@ -87,37 +90,37 @@
   private final long waitMs;
   private final int limit;
 
-  private Ctl(OperatorClient client, CommandLine line, PrintStream out) {
+  private Ctl(OperatorClient client, CommandLine commandLine, PrintStream out) {
     this.client = client;
     this.out = out;
-    boolean json = line.getOptionValue("output", "table").equals("json");
+    boolean json = commandLine.getOptionValue("output", "table").equals("json");
     this.printer = new CtlPrinter(out, json);
-    this.dryRun = line.hasOption("dry-run");
-    this.expectedVersion = number(line, "expected-version", ANY_VERSION);
-    this.waitMs = 1_000 * number(line, "wait", 0);
-    this.limit = (int) number(line, "limit", 100);
+    this.dryRun = commandLine.hasOption("dry-run");
+    this.expectedVersion = number(commandLine, "expected-version", ANY_VERSION);
+    this.waitMs = 1_000 * number(commandLine, "wait", 0);
+    this.limit = (int) number(commandLine, "limit", 100);
   }
 
   static Options options() {
     return new Options()
-        .addOption(value("controller", "ADDRESS", "operators' address of any controller"))
-        .addOption(value("key", "KEY", "operator key; else the variable LANDINGTRACK_KEY"))
-        .addOption(value("ca", "FILE", "connect by TLS; the authority's certificate in PEM"))
+        .addOption(value("controller", "ADDRESS", "address for operators of any controller"))
+        .addOption(value("key", "KEY", "operator key; default: the variable LANDINGTRACK_KEY"))
+        .addOption(value("ca", "FILE", "use TLS and trust this authority's certificate (PEM)"))
         .addOption(value("output", "FORMAT", "table or json"))
-        .addOption(value("expected-version", "N", "refuse if another version is current"))
-        .addOption(value("wait", "SECONDS", "wait until the change is in force everywhere"))
-        .addOption(value("limit", "N", "entries at most"))
-        .addOption(Option.builder().longOpt("dry-run").desc("check, but change nothing").get());
+        .addOption(value("expected-version", "N", "fail unless this is the current version"))
+        .addOption(value("wait", "SECONDS", "wait until the change is in force on all processes"))
+        .addOption(value("limit", "N", "maximum number of entries; default 100"))
+        .addOption(Option.builder().longOpt("dry-run").desc("validate, but change nothing").get());
   }
 
-  private static Option value(String name, String arg, String text) {
-    return Option.builder().longOpt(name).hasArg().argName(arg).desc(text).get();
+  private static Option value(String name, String argument, String description) {
+    return Option.builder().longOpt(name).hasArg().argName(argument).desc(description).get();
   }
 
-  private static long number(CommandLine line, String name, long fallback) {
-    String text = line.getOptionValue(name);
+  private static long number(CommandLine commandLine, String name, long defaultValue) {
+    String text = commandLine.getOptionValue(name);
     if (text == null) {
-      return fallback;
+      return defaultValue;
     }
     try {
       return Long.parseLong(text);
@@ -126,17 +129,20 @@
     }
   }
 
-  static int run(CommandLine line, List<String> words, PrintStream out, PrintStream err) {
-    if (words.isEmpty()) {
-      throw new UsageException("a verb is missing\n" + VERBS);
+  static int run(
+      CommandLine commandLine, List<String> arguments, PrintStream out, PrintStream err) {
+    if (arguments.isEmpty()) {
+      throw new UsageException("no VERB is given\n" + VERBS);
     }
-    String address = line.getOptionValue("controller");
+    String address = commandLine.getOptionValue("controller");
     if (address == null) {
-      throw new UsageException("--controller is missing");
+      throw new UsageException("--controller ADDRESS is missing");
     }
-    String key = line.getOptionValue("key", System.getenv().getOrDefault("LANDINGTRACK_KEY", ""));
-    try (OperatorClient client = new OperatorClient(address, key, line.getOptionValue("ca", ""))) {
-      return new Ctl(client, line, out).verb(words);
+    String key =
+        commandLine.getOptionValue("key", System.getenv().getOrDefault("LANDINGTRACK_KEY", ""));
+    try (OperatorClient client =
+        new OperatorClient(address, key, commandLine.getOptionValue("ca", ""))) {
+      return new Ctl(client, commandLine, out).verb(arguments);
     } catch (StatusRuntimeException e) {
       err.println("landingtrack ctl: " + describe(e));
       return ExitCodes.FAILED;
@@ -151,40 +157,43 @@
     return (kind == null ? e.getStatus().getCode().toString() : kind) + ": " + text;
   }
 
-  private int verb(List<String> words) {
-    String verb = words.get(0);
+  private int verb(List<String> arguments) {
+    String verb = arguments.get(0);
     switch (verb) {
-      case "apply" -> apply(Path.of(word(words, 1, "FILE")));
-      case "get" -> get(word(words, 1, "KIND"), word(words, 2, "NAME"));
-      case "list" -> list(word(words, 1, "KIND"));
-      case "delete" -> delete(word(words, 1, "KIND"), word(words, 2, "NAME"));
-      case "drain" -> drain(word(words, 1, "NAME"), true);
-      case "undrain" -> drain(word(words, 1, "NAME"), false);
-      case "load" -> load(word(words, 1, "SERVICE"), word(words, 2, "VERSION"));
-      case "rollback" -> rollback(word(words, 1, "SERVICE"));
+      case "apply" -> apply(Path.of(word(arguments, 1, "FILE")));
+      case "get" -> get(word(arguments, 1, "KIND"), word(arguments, 2, "NAME"));
+      case "list" -> list(word(arguments, 1, "KIND"));
+      case "delete" -> delete(word(arguments, 1, "KIND"), word(arguments, 2, "NAME"));
+      case "drain" -> drain(word(arguments, 1, "NAME"), true);
+      case "undrain" -> drain(word(arguments, 1, "NAME"), false);
+      case "load" -> load(word(arguments, 1, "SERVICE"), word(arguments, 2, "VERSION"));
+      case "rollback" -> rollback(word(arguments, 1, "SERVICE"));
       case "status" -> status();
       case "explain" -> {
-        return explain(word(words, 1, "SUBJECT"));
+        return explain(word(arguments, 1, "SUBJECT"));
       }
-      case "audit" -> audit(words);
+      case "audit" -> audit(arguments);
       default -> throw new UsageException("unknown verb '" + verb + "'\n" + VERBS);
     }
     return ExitCodes.DONE;
   }
 
-  private static String word(List<String> words, int index, String name) {
-    if (index >= words.size()) {
-      throw new UsageException(words.get(0) + " needs " + name);
+  private static String word(List<String> arguments, int index, String name) {
+    if (index >= arguments.size()) {
+      throw new UsageException(arguments.get(0) + " needs " + name);
     }
-    return words.get(index);
+    return arguments.get(index);
   }
 
-  /** A file holds {@code {"objects": [{"kind": …, "name": …, "spec": {…}}, …]}}. */
+  /**
+   * Creates or updates the objects of a file in their order. The file holds {@code {"objects":
+   * [{"kind": …, "name": …, "spec": {…}}, …]}}.
+   */
   private void apply(Path file) {
     JsonNode root = readFile(file);
     JsonNode objects = root.path("objects");
     if (!objects.isArray()) {
-      throw new UsageException(file + ": the key 'objects' must hold a list");
+      throw new UsageException(file + ": key 'objects' must hold a list of objects");
     }
     long revision = 0;
     for (JsonNode object : objects) {
@@ -209,7 +218,7 @@
     }
   }
 
-  private PutReply put(String kind, String name, String spec, long expected) {
+  private PutReply put(String kind, String name, String spec, long objectVersion) {
     CatalogObject object =
         CatalogObject.newBuilder().setKind(kind).setName(name).setSpecJson(spec).build();
     PutReply reply =
@@ -218,7 +227,7 @@
             .put(
                 PutRequest.newBuilder()
                     .setObject(object)
-                    .setExpectedVersion(expected)
+                    .setExpectedVersion(objectVersion)
                     .setDryRun(dryRun)
                     .build());
     printer.changed(kind, name, reply, dryRun);
@@ -229,11 +238,11 @@
     if (waitMs == 0 || revision == 0) {
       return;
     }
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     while (true) {
       RolloutReply reply =
           client.call().rollout(RolloutRequest.newBuilder().setRevision(revision).build());
-      double seconds = (System.nanoTime() - began) / 1e9;
+      double seconds = (System.nanoTime() - startNanos) / 1e9;
       if (reply.getInForce() >= reply.getLive()) {
         out.printf(Locale.ROOT, "in force on all %d after %.1f s%n", reply.getLive(), seconds);
         return;
@@ -268,25 +277,27 @@
     try {
       return FILES.readTree(text);
     } catch (JsonProcessingException e) {
-      throw new UsageException("the controller sent what is not JSON");
+      throw new UsageException(
+          "the controller sent an object specification that is not valid JSON");
     }
   }
 
   private void list(String kind) {
-    String after = "";
+    String lastName = "";
     int shown = 0;
     while (true) {
       ListReply reply =
           client
               .call()
-              .list(ListRequest.newBuilder().setKind(kind).setAfter(after).setLimit(100).build());
+              .list(
+                  ListRequest.newBuilder().setKind(kind).setAfter(lastName).setLimit(100).build());
       for (CatalogObject object : reply.getObjectsList()) {
         if (shown++ < limit) {
           printer.object(object);
         }
       }
-      after = reply.getNext();
-      if (after.isEmpty() || shown >= limit) {
+      lastName = reply.getNext();
+      if (lastName.isEmpty() || shown >= limit) {
         return;
       }
     }
@@ -323,14 +334,15 @@
   private void rollback(String service) {
     String current = parse(read(SERVICE, service).getSpecJson()).path("weightVersion").asText();
     for (AuditEntry entry : auditReply(SERVICE, service).getEntriesList()) {
-      String before = entry.getBefore().isEmpty() ? "{}" : entry.getBefore();
-      String version = parse(before).path("weightVersion").asText();
+      String specBefore = entry.getBefore().isEmpty() ? "{}" : entry.getBefore();
+      String version = parse(specBefore).path("weightVersion").asText();
       if (!version.isEmpty() && !version.equals(current)) {
         load(service, version);
         return;
       }
     }
-    throw new UsageException("the audit trail of " + service + " names no other weight version");
+    throw new UsageException(
+        "the audit trail of " + service + " has no weight version other than the current one");
   }
 
   private void status() {
@@ -350,15 +362,15 @@
         .audit(AuditRequest.newBuilder().setKind(kind).setName(name).setLimit(limit).build());
   }
 
-  private void audit(List<String> words) {
-    String kind = words.size() < 2 ? "" : words.get(1);
-    String name = words.size() < 3 ? "" : words.get(2);
+  private void audit(List<String> arguments) {
+    String kind = arguments.size() < 2 ? "" : arguments.get(1);
+    String name = arguments.size() < 3 ? "" : arguments.get(2);
     AuditReply reply = auditReply(kind, name);
     reply.getEntriesList().forEach(printer::auditEntry);
     if (!name.isEmpty() && !reply.getWhole()) {
       throw new LandingtrackException(
           ErrorKind.PLATFORM_UNAVAILABLE,
-          "the platform does not answer; only the last change is known");
+          "the platform does not answer; only the last change of the object is known");
     }
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/CtlPrinter.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/CtlPrinter.java
@@ -27,7 +27,7 @@
 import org.landingtrack.operators.v1.PutReply;
 import org.landingtrack.operators.v1.StatusReply;
 
-/** Prints answers of a controller, as a table for people or as one JSON object a line. */
+/** Prints a controller's answers: as a table for people, or as JSON with one object per line. */
 final class CtlPrinter {
   private final PrintStream out;
   private final boolean json;
@@ -58,11 +58,11 @@
 
   void changed(String kind, String name, PutReply reply, boolean dryRun) {
     if (!json) {
-      String what =
+      String outcome =
           !reply.getChanged()
               ? "unchanged"
               : dryRun ? "would change" : "changed by " + reply.getChangeId();
-      out.println(kind + "/" + name + " version " + reply.getVersion() + " " + what);
+      out.println(kind + "/" + name + " version " + reply.getVersion() + " " + outcome);
       if (reply.getChanged()) {
         diff(kind + "/" + name, reply).forEach(line -> out.println("  " + line));
       }
--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/ExitCodes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/ExitCodes.java
@@ -15,15 +15,15 @@
  */
 package org.landingtrack.internal.cli;
 
-/** Exit codes of every command. */
+/** Defines the exit codes of all commands. */
 public final class ExitCodes {
-  /** The command did what was asked. */
+  /** The command succeeded. */
   public static final int DONE = 0;
 
-  /** The command was understood but failed. */
+  /** The command line was valid, but the command failed. */
   public static final int FAILED = 1;
 
-  /** The command or a settings file is wrong. */
+  /** The command line or a settings file is invalid. */
   public static final int USAGE = 2;
 
   private ExitCodes() {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/Keys.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/Keys.java
@@ -26,14 +26,17 @@
 import org.landingtrack.internal.base.Hashes;
 import org.landingtrack.internal.tls.CertificateIssuer;
 
-/** The command {@code landingtrack keys}: keys of teams and operators, certificates of VMs. */
+/**
+ * Implements the command {@code landingtrack keys}, which creates keys of teams and operators, and
+ * certificates of VMs.
+ */
 final class Keys {
   static final String VERBS =
       """
       verbs:
-        new                        make a key for a team or an operator; print it and its SHA-256
-        authority                  make an authority in the folder --out
-        issue                      make the certificate of --vm, signed by the one in --authority
+        new                        create a key of a team or an operator; print it and its SHA-256
+        authority                  create a certificate authority in the folder --out
+        issue                      create the certificate of --vm, signed by --authority, in --out
       """;
 
   private static final int KEY_BYTES = 24;
@@ -43,39 +46,39 @@
 
   static Options options() {
     return new Options()
-        .addOption(value("out", "FOLDER", "where files are written"))
-        .addOption(value("authority", "FOLDER", "where the authority's files are"))
+        .addOption(value("out", "FOLDER", "folder to write the files to"))
+        .addOption(value("authority", "FOLDER", "folder with the files of the authority"))
         .addOption(value("vm", "NAME", "name of the VM"))
         .addOption(value("ip", "ADDRESS,…", "IP addresses of the VM"))
-        .addOption(value("days", "N", "how long it is valid, 1 to 3650; 365 unless given"));
+        .addOption(value("days", "N", "days of validity, 1 to 3650; default 365"));
   }
 
-  private static Option value(String name, String arg, String text) {
-    return Option.builder().longOpt(name).hasArg().argName(arg).desc(text).get();
+  private static Option value(String name, String argument, String description) {
+    return Option.builder().longOpt(name).hasArg().argName(argument).desc(description).get();
   }
 
-  static int run(CommandLine line, List<String> words, PrintStream out) {
-    if (words.size() != 1) {
-      throw new UsageException("keys needs one verb\n" + VERBS);
+  static int run(CommandLine commandLine, List<String> arguments, PrintStream out) {
+    if (arguments.size() != 1) {
+      throw new UsageException("keys needs exactly one VERB\n" + VERBS);
     }
-    switch (words.get(0)) {
+    switch (arguments.get(0)) {
       case "new" -> newKey(out);
       case "authority" -> {
-        Path folder = Path.of(required(line, "out"));
-        CertificateIssuer.newAuthority(folder, days(line));
+        Path folder = Path.of(required(commandLine, "out"));
+        CertificateIssuer.newAuthority(folder, days(commandLine));
         out.println("wrote " + folder);
       }
       case "issue" -> {
-        Path folder = Path.of(required(line, "out"));
+        Path folder = Path.of(required(commandLine, "out"));
         CertificateIssuer.issue(
-            Path.of(required(line, "authority")),
-            required(line, "vm"),
-            List.of(required(line, "ip").split(",", -1)),
-            days(line),
+            Path.of(required(commandLine, "authority")),
+            required(commandLine, "vm"),
+            List.of(required(commandLine, "ip").split(",", -1)),
+            days(commandLine),
             folder);
         out.println("wrote " + folder);
       }
-      default -> throw new UsageException("unknown verb '" + words.get(0) + "'\n" + VERBS);
+      default -> throw new UsageException("unknown verb '" + arguments.get(0) + "'\n" + VERBS);
     }
     return ExitCodes.DONE;
   }
@@ -88,24 +91,25 @@
     out.println("sha256  " + Hashes.sha256Hex(key));
   }
 
-  private static String required(CommandLine line, String name) {
-    String value = line.getOptionValue(name);
+  private static String required(CommandLine commandLine, String name) {
+    String value = commandLine.getOptionValue(name);
     if (value == null || value.isEmpty()) {
       throw new UsageException("--" + name + " is missing");
     }
     return value;
   }
 
-  private static int days(CommandLine line) {
-    String text = line.getOptionValue("days", "365");
+  private static int days(CommandLine commandLine) {
+    String text = commandLine.getOptionValue("days", "365");
     try {
       int days = Integer.parseInt(text);
       if (days >= 1 && days <= MAX_DAYS) {
         return days;
       }
     } catch (NumberFormatException e) {
-      // Said below, with what is allowed.
+      // The error below names the allowed range.
     }
-    throw new UsageException("--days must be from 1 to " + MAX_DAYS + ", not '" + text + "'");
+    throw new UsageException(
+        "--days must be a whole number from 1 to " + MAX_DAYS + ", not '" + text + "'");
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/OperatorClient.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/OperatorClient.java
@@ -29,7 +29,7 @@
 import org.landingtrack.operators.v1.OperatorsGrpc;
 import org.landingtrack.operators.v1.OperatorsGrpc.OperatorsBlockingStub;
 
-/** A connection to one controller's operators' interface. */
+/** Calls the operators' gRPC interface of one controller. */
 final class OperatorClient implements AutoCloseable {
   private static final Metadata.Key<String> KEY =
       Metadata.Key.of("operator-key", Metadata.ASCII_STRING_MARSHALLER);
@@ -39,9 +39,9 @@
   private final OperatorsBlockingStub stub;
 
   /**
-   * Connects to a controller.
+   * Creates a client of a controller; the connection is opened by the first call.
    *
-   * @param authority file with the certificates that are believed; empty connects without TLS
+   * @param authority PEM file with the trusted certificates; empty connects without TLS
    */
   OperatorClient(String address, String operatorKey, String authority) {
     InetSocketAddress target;
@@ -67,10 +67,11 @@
       SslContextBuilder ssl = GrpcSslContexts.forClient().trustManager(new File(authority));
       return builder.sslContext(ssl.build()).build();
     } catch (SSLException | IllegalArgumentException e) {
-      throw new UsageException("--ca " + authority + " holds no certificate in PEM");
+      throw new UsageException("--ca " + authority + " is not a file with a certificate in PEM");
     }
   }
 
+  /** Returns a stub whose next call must be answered within {@link #DEADLINE_S} seconds. */
   OperatorsBlockingStub call() {
     return stub.withDeadlineAfter(DEADLINE_S, TimeUnit.SECONDS);
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/ProcessCommand.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/ProcessCommand.java
@@ -30,7 +30,7 @@
 import org.landingtrack.internal.tls.TlsIdentities;
 import org.slf4j.LoggerFactory;
 
-/** Runs the gateway and the controller, and checks their settings. */
+/** Runs gateway and controller processes, and checks the settings of all kinds of processes. */
 final class ProcessCommand {
   private static final JsonMapper PEEK =
       JsonMapper.builder()
@@ -40,6 +40,7 @@
 
   private ProcessCommand() {}
 
+  /** Starts a gateway and waits until it has stopped. */
   static int gateway(Path file) throws InterruptedException {
     GatewaySettings settings = GatewaySettings.read(file);
     Logs.configure(settings.logFormat(), settings.logLevel());
@@ -50,6 +51,7 @@
     return ExitCodes.DONE;
   }
 
+  /** Starts a controller and waits until it has stopped. */
   static int controller(Path file) throws InterruptedException {
     ControllerSettings settings = ControllerSettings.read(file);
     Logs.configure(settings.logFormat(), settings.logLevel());
@@ -62,7 +64,10 @@
     return ExitCodes.DONE;
   }
 
-  /** A planned stop ends with exit code 0, where the JVM would say that a signal ended it. */
+  /**
+   * Stops the process on a signal. Halts the JVM with exit code 0 after a planned stop, because its
+   * own exit code would report that a signal ended the process.
+   */
   private static void stopOnSignal(AutoCloseable process) {
     Runnable stop =
         () -> {
@@ -70,23 +75,26 @@
             process.close();
             Runtime.getRuntime().halt(ExitCodes.DONE);
           } catch (Exception e) {
-            LoggerFactory.getLogger("stop").error("The stop failed.", e);
+            LoggerFactory.getLogger("stop").error("Stopping the process failed.", e);
             Runtime.getRuntime().halt(ExitCodes.FAILED);
           }
         };
     Runtime.getRuntime().addShutdownHook(new Thread(stop, "stop"));
   }
 
-  /** Reads a file by the key {@code process} in it, so that one command checks all kinds. */
+  /**
+   * Checks a settings file. The key {@code process} in the file selects the kind of process, so
+   * that one command checks all kinds.
+   */
   static int check(Path file) {
-    String process = process(file);
-    if (process.equals("entry")) {
-      // The balancer ends the TLS of callers; an entry process has no section for it.
+    String kind = process(file);
+    if (kind.equals("entry")) {
+      // The load balancer terminates the TLS of callers; entry settings have no TLS section.
       var unused = EntrySettings.read(file);
       return ok(file);
     }
     TlsFiles tls =
-        process.equals("gateway")
+        kind.equals("gateway")
             ? GatewaySettings.read(file).tls()
             : ControllerSettings.read(file).tls();
     if (tls != null) {
@@ -105,7 +113,7 @@
       JsonNode tree = PEEK.readTree(Files.readString(file));
       return tree == null ? "" : tree.path("process").asText();
     } catch (IOException e) {
-      // The checked reading names the fault with its line.
+      // The validation that follows reports the error with its line.
       return "";
     }
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/SpecDiff.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/SpecDiff.java
@@ -23,34 +23,34 @@
 import java.util.TreeMap;
 import org.jspecify.annotations.Nullable;
 
-/** What a change does to an object's content, a line for each key. */
+/** Lists what a change does to an object's specification, one line for each changed key. */
 final class SpecDiff {
   private static final int LONGEST_VALUE = 60;
 
   private SpecDiff() {}
 
   /**
-   * Compares two contents.
+   * Compares two specifications.
    *
-   * @param before empty if the object is new
-   * @param after empty if it is deleted
+   * @param before specification before the change; empty if the object is new
+   * @param after specification after the change; empty if the object is deleted
    * @return lines such as {@code ~ maxQueue: 100 -> 200}, sorted by key
    */
   static List<String> lines(JsonNode before, JsonNode after) {
-    Map<String, String> old = flatten(before);
-    Map<String, String> next = flatten(after);
-    Map<String, String> all = new TreeMap<>(old);
-    all.putAll(next);
+    Map<String, String> oldValues = flatten(before);
+    Map<String, String> newValues = flatten(after);
+    Map<String, String> allKeys = new TreeMap<>(oldValues);
+    allKeys.putAll(newValues);
     List<String> lines = new ArrayList<>();
-    for (String key : all.keySet()) {
-      @Nullable String was = old.get(key);
-      @Nullable String becomes = next.get(key);
-      if (was == null) {
-        lines.add("+ " + key + ": " + becomes);
-      } else if (becomes == null) {
-        lines.add("- " + key + ": " + was);
-      } else if (!was.equals(becomes)) {
-        lines.add("~ " + key + ": " + was + " -> " + becomes);
+    for (String key : allKeys.keySet()) {
+      @Nullable String oldValue = oldValues.get(key);
+      @Nullable String newValue = newValues.get(key);
+      if (oldValue == null) {
+        lines.add("+ " + key + ": " + newValue);
+      } else if (newValue == null) {
+        lines.add("- " + key + ": " + oldValue);
+      } else if (!oldValue.equals(newValue)) {
+        lines.add("~ " + key + ": " + oldValue + " -> " + newValue);
       }
     }
     return lines;
@@ -70,8 +70,8 @@
     Iterator<Map.Entry<String, JsonNode>> fields = node.fields();
     while (fields.hasNext()) {
       Map.Entry<String, JsonNode> field = fields.next();
-      String own = path.isEmpty() ? field.getKey() : path + "." + field.getKey();
-      addAll(flat, own, field.getValue());
+      String fieldPath = path.isEmpty() ? field.getKey() : path + "." + field.getKey();
+      addAll(flat, fieldPath, field.getValue());
     }
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/UsageException.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/UsageException.java
@@ -15,7 +15,7 @@
  */
 package org.landingtrack.internal.cli;
 
-/** A command line that is wrong; the message says what is expected. */
+/** Signals an invalid command line; the message says what is expected. */
 final class UsageException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/package-info.java
@@ -1,3 +1,3 @@
-/** The command line. */
+/** The command line: the programs gateway, controller, ctl, check and keys. */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.cli;
--- a/landingtrack/src/main/java/org/landingtrack/internal/settings/CommonKeys.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/settings/CommonKeys.java
@@ -21,7 +21,10 @@
 import org.jspecify.annotations.Nullable;
 import org.landingtrack.internal.tls.TlsFiles;
 
-/** The keys that gateways and controllers share. */
+/**
+ * Defines the settings keys that processes have in common, and the patterns of common values. An
+ * entry process has its own key {@link #PROCESS}.
+ */
 final class CommonKeys {
   static final String NAME = "[a-z0-9][a-z0-9-]{0,62}";
   static final String NAME_RULE = "a name of a-z, 0-9 and hyphens, 63 characters at most";
@@ -51,7 +54,10 @@
 
   private CommonKeys() {}
 
-  /** Returns the TLS files; null if none is named; relative paths start at the settings file. */
+  /**
+   * Returns the TLS files, or null if the settings name none. Relative paths are resolved against
+   * the folder of the settings file.
+   */
   static @Nullable TlsFiles tls(Path settingsFile, SettingsReader.Values values) {
     List<String> missing = new ArrayList<>();
     for (String key : List.of(TLS_CERTIFICATE, TLS_PRIVATE_KEY, TLS_AUTHORITY)) {
@@ -66,7 +72,9 @@
       throw new SettingsException(
           settingsFile.toString(),
           1,
-          "key '" + missing.get(0) + "' is missing; the three keys of tls go together");
+          "key '"
+              + missing.get(0)
+              + "' is missing; tls.certificate, tls.privateKey and tls.authority must be set together");
     }
     return new TlsFiles(
         settingsFile.resolveSibling(values.text(TLS_CERTIFICATE)),
--- a/landingtrack/src/main/java/org/landingtrack/internal/settings/ControllerSettings.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/settings/ControllerSettings.java
@@ -22,13 +22,14 @@
 import org.landingtrack.internal.tls.TlsFiles;
 
 /**
- * Checked settings of a controller.
+ * Validated settings of a controller process. Times are in milliseconds.
  *
  * @param objectApi base URL of the platform's Object API
  * @param vmList URL of the platform's VM list; empty if there is none
- * @param seeds peer addresses that are tried when the VM list does not answer
- * @param operators entries {@code name:role:sha256-of-key}
- * @param tls key and certificates towards other processes and operators; null without TLS
+ * @param seeds peer addresses that are used when the VM list does not answer
+ * @param operators known operators, each {@code name:role:sha256-of-key}
+ * @param tls key and certificates for connections with other processes and operators; null without
+ *     TLS
  */
 public record ControllerSettings(
     String vm,
@@ -69,24 +70,28 @@
     return List.copyOf(keys);
   }
 
-  /** Reads a file; throws {@link SettingsException} on the first fault. */
+  /**
+   * Reads and validates a settings file.
+   *
+   * @throws SettingsException for the first error in the file
+   */
   public static ControllerSettings read(Path path) {
-    SettingsReader.Values v = SettingsReader.read(path, KEYS);
+    SettingsReader.Values values = SettingsReader.read(path, KEYS);
     return new ControllerSettings(
-        v.text("vm"),
-        v.text("dataCentre"),
-        v.text("region"),
-        v.text("log.format"),
-        v.text("log.level"),
-        v.text("host"),
-        v.integer("ports.peer"),
-        v.integer("ports.operators"),
-        v.integer("ports.http"),
-        v.text("platform.objectApi"),
-        v.text("platform.vmList"),
-        v.texts("seeds"),
-        v.texts("operators"),
-        v.number("membership.probeMs"),
-        CommonKeys.tls(path, v));
+        values.text("vm"),
+        values.text("dataCentre"),
+        values.text("region"),
+        values.text("log.format"),
+        values.text("log.level"),
+        values.text("host"),
+        values.integer("ports.peer"),
+        values.integer("ports.operators"),
+        values.integer("ports.http"),
+        values.text("platform.objectApi"),
+        values.text("platform.vmList"),
+        values.texts("seeds"),
+        values.texts("operators"),
+        values.number("membership.probeMs"),
+        CommonKeys.tls(path, values));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/settings/EntrySettings.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/settings/EntrySettings.java
@@ -22,36 +22,40 @@
 import java.util.Map;
 
 /**
- * Settings of an entry process: the one process of an entry VM where the platform's store holds the
- * configuration and the list of backend servers.
+ * Validated settings of an entry process, the only process of an entry VM in deployments where the
+ * platform's store holds the configuration and the list of backend servers. Times are in
+ * milliseconds.
  *
- * @param strength hundredths of a core that this VM has
- * @param callersAddress where callers connect
- * @param readinessAddress where the balancer asks whether this VM wants connections
- * @param peersAddress where this VM hears from others, by UDP
- * @param peersSeeds addresses of some VMs, whose ports may be others
- * @param storeAddress the platform's store
- * @param storeReadsPerSecond reading calls that the store takes from all VMs together
- * @param storeWritesPerSecond writing calls likewise
- * @param storeSettledMs how long after its last trouble the store counts as sound
- * @param configMs within which an accepted configuration must be in force
- * @param stopGraceMs from the signal to stop until the process is killed
- * @param leavingMs how long a leaving backend server may get requests
- * @param retryShare retries of a service for each of its requests
- * @param retryExtra retries in a window that all VMs together have beyond that
- * @param retryWindowMs how long that window is
- * @param leaseMs how long the orders of two holders to one engine must be apart
- * @param weightsMs within which no request may begin on older weights than named
- * @param fencesChecked true if engines refuse orders with an old fencing token
- * @param evacuationMs within which an evacuated data centre must get no more requests; 0 where
+ * @param strength CPU capacity of this VM, in hundredths of a core
+ * @param callersAddress address that callers connect to
+ * @param readinessAddress address at which the load balancer asks whether this VM accepts
+ *     connections
+ * @param peersAddress UDP address at which this VM receives messages of other VMs
+ * @param peersSeeds addresses of some VMs to start from; only the hosts are used, since all VMs
+ *     receive at the port of {@code peersAddress} and a seed may name another port
+ * @param storeAddress address of the platform's store
+ * @param storeReadsPerSecond read calls that the store accepts from all VMs together
+ * @param storeWritesPerSecond write calls that the store accepts from all VMs together
+ * @param storeSettledMs time since its last failure after which the store counts as healthy
+ * @param configMs time within which an accepted configuration must be in force
+ * @param stopGraceMs time from the stop signal until the process is killed
+ * @param leavingMs time for which a leaving backend server may still get requests
+ * @param retryShare retries that a service may have for each of its requests, from 0 to 1
+ * @param retryExtra further retries in a window, for all VMs together
+ * @param retryWindowMs length of that window
+ * @param leaseMs minimum time between the orders of two lease holders to one engine
+ * @param weightsMs time after which no request may start on weights older than the newest published
+ *     ones
+ * @param fencesChecked true if engines reject orders with an old fencing token
+ * @param evacuationMs time within which an evacuated data centre must stop getting requests; 0 if
  *     operators evacuate none
- * @param coldOvershoot a cold server bears so many times its rate in a single second
- * @param coldTolerance and so many requests more
- * @param regions the region of each data centre
- * @param memoryMb memory of this VM, or 0 if it is not told
- * @param fileDescriptors descriptors of the process, likewise
- * @param linkMbps rate of this VM's own link, likewise
- * @param mechanismsOff names of mechanisms for hard load that are switched off
+ * @param coldOvershoot factor by which a cold server may exceed its rate within a single second
+ * @param coldTolerance number of requests that it may get on top of that
+ * @param regions region of each data centre
+ * @param memoryMb memory of this VM; 0 if not stated
+ * @param fileDescriptors file descriptors that the process may have; 0 if not stated
+ * @param linkMbps rate of this VM's network link; 0 if not stated
+ * @param mechanismsOff names of the overload control mechanisms that are switched off
  */
 public record EntrySettings(
     String vm,
@@ -165,46 +169,50 @@
         mechanismsOff);
   }
 
-  /** Reads a file; throws {@link SettingsException} on the first fault. */
+  /**
+   * Reads and validates a settings file.
+   *
+   * @throws SettingsException for the first error in the file
+   */
   public static EntrySettings read(Path path) {
-    SettingsReader.Values v = SettingsReader.read(path, KEYS);
+    SettingsReader.Values values = SettingsReader.read(path, KEYS);
     return new EntrySettings(
-        v.text("vm"),
-        v.text("dataCentre"),
-        (int) Math.round(HUNDREDTHS * v.decimal("cpu.share") * v.decimal("cpu.cores")),
-        v.text("log.level"),
-        v.text("callers.address"),
-        v.text("readiness.address"),
-        v.text("peers.address"),
-        v.texts("peers.seeds"),
-        v.text("store.address"),
-        v.decimal("store.readsPerSecond"),
-        v.decimal("store.writesPerSecond"),
-        v.millis("store.settledMs"),
-        v.millis("config.withinMs"),
-        (long) (MS_PER_SECOND * v.decimal("stopGraceS")),
-        v.millis("servers.leavingMs"),
-        v.decimal("retries.share"),
-        v.decimal("retries.extra"),
-        (long) (MS_PER_SECOND * v.decimal("retries.windowS")),
-        v.millis("orders.leaseMs"),
-        v.millis("weights.withinMs"),
-        v.flag("orders.fencesChecked"),
-        v.millis("evacuations.withinMs"),
-        v.decimal("coldServers.overshoot"),
-        v.decimal("coldServers.tolerance"),
-        regions(v.texts("regions")),
-        (int) v.decimal("limits.memoryMb"),
-        (int) v.decimal("limits.fileDescriptors"),
-        v.decimal("limits.linkMbps"),
-        List.copyOf(v.texts("mechanisms.off")));
+        values.text("vm"),
+        values.text("dataCentre"),
+        (int) Math.round(HUNDREDTHS * values.decimal("cpu.share") * values.decimal("cpu.cores")),
+        values.text("log.level"),
+        values.text("callers.address"),
+        values.text("readiness.address"),
+        values.text("peers.address"),
+        values.texts("peers.seeds"),
+        values.text("store.address"),
+        values.decimal("store.readsPerSecond"),
+        values.decimal("store.writesPerSecond"),
+        values.millis("store.settledMs"),
+        values.millis("config.withinMs"),
+        (long) (MS_PER_SECOND * values.decimal("stopGraceS")),
+        values.millis("servers.leavingMs"),
+        values.decimal("retries.share"),
+        values.decimal("retries.extra"),
+        (long) (MS_PER_SECOND * values.decimal("retries.windowS")),
+        values.millis("orders.leaseMs"),
+        values.millis("weights.withinMs"),
+        values.flag("orders.fencesChecked"),
+        values.millis("evacuations.withinMs"),
+        values.decimal("coldServers.overshoot"),
+        values.decimal("coldServers.tolerance"),
+        regions(values.texts("regions")),
+        (int) values.decimal("limits.memoryMb"),
+        (int) values.decimal("limits.fileDescriptors"),
+        values.decimal("limits.linkMbps"),
+        List.copyOf(values.texts("mechanisms.off")));
   }
 
   private static Map<String, String> regions(List<String> texts) {
     Map<String, String> regions = new HashMap<>();
     for (String text : texts) {
-      int at = text.indexOf(IN);
-      regions.put(text.substring(0, at), text.substring(at + 1));
+      int separator = text.indexOf(IN);
+      regions.put(text.substring(0, separator), text.substring(separator + 1));
     }
     return Map.copyOf(regions);
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/settings/GatewaySettings.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/settings/GatewaySettings.java
@@ -22,12 +22,13 @@
 import org.landingtrack.internal.tls.TlsFiles;
 
 /**
- * Checked settings of a gateway. Times are in milliseconds, sizes in bytes.
+ * Validated settings of a gateway process. Times are in milliseconds, sizes in bytes.
  *
- * @param controllers addresses of controllers' peer ports, the own VM's first
- * @param policy how requests are routed; anything but {@code landingtrack} is a baseline for
+ * @param controllers addresses of the peer ports of controllers, the one on the same VM first
+ * @param policy routing policy; the policies other than {@code landingtrack} are baselines for
  *     measurements
- * @param tls key and certificates towards other processes and operators; null without TLS
+ * @param tls key and certificates for connections with other processes and operators; null without
+ *     TLS
  */
 public record GatewaySettings(
     String vm,
@@ -69,25 +70,29 @@
     return List.copyOf(keys);
   }
 
-  /** Reads a file; throws {@link SettingsException} on the first fault. */
+  /**
+   * Reads and validates a settings file.
+   *
+   * @throws SettingsException for the first error in the file
+   */
   public static GatewaySettings read(Path path) {
-    SettingsReader.Values v = SettingsReader.read(path, KEYS);
+    SettingsReader.Values values = SettingsReader.read(path, KEYS);
     return new GatewaySettings(
-        v.text("vm"),
-        v.text("dataCentre"),
-        v.text("region"),
-        v.text("log.format"),
-        v.text("log.level"),
-        v.text("callers.host"),
-        v.integer("callers.port"),
-        v.texts("controllers"),
-        v.integer("requests.maxBodyBytes"),
-        v.number("requests.bodyTimeoutMs"),
-        v.number("requests.defaultDeadlineMs"),
-        v.number("stopGraceMs"),
-        v.integer("requests.maxConcurrent"),
-        v.text("routing.policy"),
-        v.number("routing.seed"),
-        CommonKeys.tls(path, v));
+        values.text("vm"),
+        values.text("dataCentre"),
+        values.text("region"),
+        values.text("log.format"),
+        values.text("log.level"),
+        values.text("callers.host"),
+        values.integer("callers.port"),
+        values.texts("controllers"),
+        values.integer("requests.maxBodyBytes"),
+        values.number("requests.bodyTimeoutMs"),
+        values.number("requests.defaultDeadlineMs"),
+        values.number("stopGraceMs"),
+        values.integer("requests.maxConcurrent"),
+        values.text("routing.policy"),
+        values.number("routing.seed"),
+        CommonKeys.tls(path, values));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/settings/SettingKey.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/settings/SettingKey.java
@@ -20,15 +20,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One key of a settings file: its dotted path, its type and what it may hold.
+ * Describes a key of a settings file: its dotted path, its type and its allowed values. Immutable.
  *
  * @param path dotted path, for example {@code callers.port}
- * @param type what kind of value it takes
- * @param fallback the value when the key is missing; null means that the key is required
- * @param min smallest number allowed
- * @param max largest number allowed
- * @param pattern what a text, or each text of a list, must match
- * @param allowed what is allowed, in words
+ * @param type type of its value
+ * @param fallback default value if the key is missing; null if the key is required
+ * @param min smallest allowed number
+ * @param max largest allowed number
+ * @param pattern pattern that a text, or each text of a list, must match
+ * @param allowed allowed values in words, for error messages
  */
 record SettingKey(
     String path,
@@ -48,39 +48,48 @@
     FLAG
   }
 
-  static SettingKey number(String path, @Nullable Long fallback, long min, long max) {
+  static SettingKey number(String path, @Nullable Long defaultValue, long min, long max) {
     return new SettingKey(
-        path, Type.NUMBER, fallback, min, max, null, "a whole number from " + min + " to " + max);
+        path,
+        Type.NUMBER,
+        defaultValue,
+        min,
+        max,
+        null,
+        "a whole number from " + min + " to " + max);
   }
 
-  /** A number from 0 to 1, fractions included. */
+  /** Creates a required key for a number from 0 to 1 that may have a fraction. */
   static SettingKey share(String path) {
     return decimal(path, 0, 1);
   }
 
-  /** A number that may have a fraction: rates and allowances are parts of a whole fleet's. */
+  /**
+   * Creates a required key for a number that may have a fraction. Rates and budgets need fractions
+   * because they are shares of those of a whole fleet.
+   */
   static SettingKey decimal(String path, long min, long max) {
     return new SettingKey(
         path, Type.DECIMAL, null, min, max, null, "a number from " + min + " to " + max);
   }
 
-  /** A number that may be left out. */
-  static SettingKey decimalOr(String path, double fallback, long min, long max) {
+  /** Creates an optional key for a number that may have a fraction. */
+  static SettingKey decimalOr(String path, double defaultValue, long min, long max) {
     return new SettingKey(
-        path, Type.DECIMAL, fallback, min, max, null, "a number from " + min + " to " + max);
+        path, Type.DECIMAL, defaultValue, min, max, null, "a number from " + min + " to " + max);
   }
 
   static SettingKey flag(String path) {
     return new SettingKey(path, Type.FLAG, null, 0, 0, null, "true or false");
   }
 
-  static SettingKey text(String path, @Nullable String fallback, String regex, String allowed) {
-    return new SettingKey(path, Type.TEXT, fallback, 0, 0, Pattern.compile(regex), allowed);
+  static SettingKey text(String path, @Nullable String defaultValue, String regex, String allowed) {
+    return new SettingKey(path, Type.TEXT, defaultValue, 0, 0, Pattern.compile(regex), allowed);
   }
 
   static SettingKey texts(
-      String path, @Nullable List<String> fallback, String regex, String allowed) {
+      String path, @Nullable List<String> defaultValue, String regex, String allowed) {
     return new SettingKey(
-        path, Type.TEXTS, fallback, 0, 0, Pattern.compile(regex), "a list, each " + allowed);
+        path, Type.TEXTS, defaultValue, 0, 0, Pattern.compile(regex), "a list, each " + allowed);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/settings/SettingsException.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/settings/SettingsException.java
@@ -15,11 +15,14 @@
  */
 package org.landingtrack.internal.settings;
 
-/** A fault in a settings file; the message is one line with file, line, key and what is allowed. */
+/**
+ * Signals an error in a settings file. The message is one line with the file, the line, the key and
+ * the allowed values.
+ */
 public final class SettingsException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  SettingsException(String file, int line, String problem) {
-    super(file + ":" + line + ": " + problem);
+  SettingsException(String file, int line, String error) {
+    super(file + ":" + line + ": " + error);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/settings/SettingsReader.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/settings/SettingsReader.java
@@ -31,7 +31,7 @@
 import java.util.regex.Pattern;
 import org.jspecify.annotations.Nullable;
 
-/** Reads a settings file against the list of its keys. */
+/** Reads a settings file and validates it against a list of keys. */
 final class SettingsReader {
   private static final JsonMapper MAPPER =
       JsonMapper.builder()
@@ -51,7 +51,11 @@
     }
   }
 
-  /** Reads and checks a file; throws {@link SettingsException} on the first fault. */
+  /**
+   * Reads and validates a file.
+   *
+   * @throws SettingsException for the first error in the file
+   */
   static Values read(Path path, List<SettingKey> keys) {
     SettingsReader reader = new SettingsReader(path.toString(), keys);
     String text;
@@ -73,7 +77,7 @@
       readObject(parser, "");
       lastLine = parser.currentLocation().getLineNr();
       if (parser.nextToken() != null) {
-        throw new SettingsException(file, lastLine, "nothing may follow the JSON object");
+        throw new SettingsException(file, lastLine, "the file must end after the JSON object");
       }
     } catch (JsonProcessingException e) {
       throw new SettingsException(file, lineOf(e), firstLine(e.getOriginalMessage()));
@@ -101,8 +105,8 @@
   }
 
   private boolean isSection(String path) {
-    for (String known : keys.keySet()) {
-      if (known.startsWith(path + ".")) {
+    for (String knownPath : keys.keySet()) {
+      if (knownPath.startsWith(path + ".")) {
         return true;
       }
     }
@@ -182,12 +186,12 @@
       if (values.containsKey(key.path())) {
         continue;
       }
-      Object fallback = key.fallback();
-      if (fallback == null) {
+      Object defaultValue = key.fallback();
+      if (defaultValue == null) {
         missing.add(key.path());
         continue;
       }
-      values.put(key.path(), fallback);
+      values.put(key.path(), defaultValue);
     }
     if (missing.isEmpty()) {
       return;
@@ -205,12 +209,12 @@
   }
 
   private static String firstLine(@Nullable String message) {
-    String text = message == null ? "not JSON" : message;
+    String text = message == null ? "the file is not valid JSON" : message;
     int end = text.indexOf('\n');
     return end < 0 ? text : text.substring(0, end);
   }
 
-  /** Checked values by path. */
+  /** Holds the validated values by their path. Immutable. */
   static final class Values {
     private final Map<String, Object> values;
 
@@ -234,7 +238,7 @@
       return (Double) value(path);
     }
 
-    /** Returns a time that may have been given with a fraction, in whole milliseconds. */
+    /** Returns a time in whole milliseconds; a fraction in the file is cut off. */
     long millis(String path) {
       return (long) decimal(path);
     }
@@ -254,7 +258,7 @@
     private Object value(String path) {
       Object value = values.get(path);
       if (value == null) {
-        throw new IllegalArgumentException("no such setting: " + path);
+        throw new IllegalArgumentException("no settings key with the path " + path);
       }
       return value;
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/settings/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/settings/package-info.java
@@ -1,3 +1,3 @@
-/** Settings files: JSON with comments, every key checked. */
+/** Reads settings files: JSON with comments, in which every key is validated. */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.settings;
--- a/landingtrack/src/test/java/org/landingtrack/internal/cli/SpecDiffTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/cli/SpecDiffTest.java
@@ -22,6 +22,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Tests which lines {@link SpecDiff} lists for changed, new and removed keys. */
 public final class SpecDiffTest {
   @DataProvider
   public Object[][] changes() {
@@ -37,8 +38,9 @@
   }
 
   @Test(dataProvider = "changes")
-  public void everyKeyHasItsLine(String before, String after, List<String> lines) throws Exception {
+  public void everyKeyHasItsLine(String before, String after, List<String> expectedLines)
+      throws Exception {
     assertEquals(
-        SpecDiff.lines(Json.LENIENT.readTree(before), Json.LENIENT.readTree(after)), lines);
+        SpecDiff.lines(Json.LENIENT.readTree(before), Json.LENIENT.readTree(after)), expectedLines);
   }
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/settings/ExamplesTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/settings/ExamplesTest.java
@@ -33,7 +33,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The examples that operators start from are accepted as they stand. */
+/** Checks that the example settings and objects for operators are accepted unchanged. */
 public final class ExamplesTest {
   private static final Path EXAMPLES = Path.of("..", "examples");
   private static final JsonMapper WITH_COMMENTS =
--- a/landingtrack/src/test/java/org/landingtrack/internal/settings/SettingsReaderTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/settings/SettingsReaderTest.java
@@ -25,6 +25,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Tests values, defaults and error messages of settings files, with those of a gateway. */
 public final class SettingsReaderTest {
   private static final String GOOD =
       """
@@ -85,11 +86,11 @@
   }
 
   @Test(dataProvider = "faults")
-  public void saysFileLineKeyAndWhatIsAllowed(String good, String bad, int line, String problem)
-      throws IOException {
-    Path file = file(GOOD.replace(good, bad));
+  public void saysFileLineKeyAndWhatIsAllowed(
+      String validText, String invalidText, int line, String error) throws IOException {
+    Path file = file(GOOD.replace(validText, invalidText));
     SettingsException e = expectThrows(SettingsException.class, () -> GatewaySettings.read(file));
-    assertEquals(e.getMessage(), file + ":" + line + ": " + problem);
+    assertEquals(e.getMessage(), file + ":" + line + ": " + error);
   }
 
   @DataProvider
