--- a/landingtrack/src/main/java/org/landingtrack/ErrorKind.java
+++ b/landingtrack/src/main/java/org/landingtrack/ErrorKind.java
@@ -16,10 +16,10 @@
 package org.landingtrack;
 
 /**
- * The closed list of error kinds, with the one table from kind to answer.
+ * Lists all kinds of errors, and maps each to the answer that callers and operators get.
  *
- * <p>Each kind gives the HTTP status, the gRPC status code by name, whether the request ran, and
- * the default time after which a retry makes sense (seconds; 0 means that a retry does not help).
+ * <p>Each kind has an HTTP status, the name of a gRPC status code, whether the request ran, and the
+ * default time in seconds after which a retry makes sense (0 means that a retry does not help).
  *
  * @since 0.1
  */
@@ -32,22 +32,24 @@
   BODY_TIMEOUT(408, "DEADLINE_EXCEEDED", RunState.NOT_RUN, 1),
   VERSION_CONFLICT(409, "ABORTED", RunState.NOT_RUN, 0),
   IN_USE(409, "FAILED_PRECONDITION", RunState.NOT_RUN, 0),
-  /** Another request with the same key was accepted before; that one may have run. */
+  /** A request with the same key was accepted before; that one may have run. */
   DUPLICATE_KEY(409, "ALREADY_EXISTS", RunState.UNKNOWN, 0),
   TOO_LARGE(413, "RESOURCE_EXHAUSTED", RunState.NOT_RUN, 0),
   RATE_LIMITED(429, "RESOURCE_EXHAUSTED", RunState.NOT_RUN, 1),
   OVERLOADED(503, "UNAVAILABLE", RunState.NOT_RUN, 2),
   NO_BACKEND_SERVER(503, "UNAVAILABLE", RunState.NOT_RUN, 2),
-  /** Servers ended under the same request of the same caller before; it gets no further one. */
+  /**
+   * Server processes ended while they ran this request of this caller; no further server gets it.
+   */
   QUARANTINED(503, "UNAVAILABLE", RunState.NOT_RUN, 3_600),
   STOPPING(503, "UNAVAILABLE", RunState.NOT_RUN, 1),
   PLATFORM_UNAVAILABLE(503, "UNAVAILABLE", RunState.NOT_RUN, 5),
   NOT_READY(503, "UNAVAILABLE", RunState.NOT_RUN, 2),
   DEADLINE_BEFORE_RUN(504, "DEADLINE_EXCEEDED", RunState.NOT_RUN, 2),
-  /** The deadline passed while the request was running; the run was cancelled. */
+  /** The deadline passed while the request was running; it was cancelled. */
   DEADLINE_IN_RUN(504, "DEADLINE_EXCEEDED", RunState.RAN, 0),
   OUTCOME_UNKNOWN(502, "UNKNOWN", RunState.UNKNOWN, 0),
-  /** The backend server began to run the request and then failed it. */
+  /** The backend server started to run the request, which then failed. */
   FAILED_IN_RUN(502, "INTERNAL", RunState.RAN, 0),
   INTERNAL(500, "INTERNAL", RunState.UNKNOWN, 0);
 
--- a/landingtrack/src/main/java/org/landingtrack/Landingtrack.java
+++ b/landingtrack/src/main/java/org/landingtrack/Landingtrack.java
@@ -18,7 +18,7 @@
 import org.landingtrack.internal.cli.CommandLineProgram;
 
 /**
- * The entry point of the one executable that holds all programs.
+ * Starts the program that the command line names; all programs are in one executable.
  *
  * <pre>{@code
  * landingtrack gateway --settings gateway.json
@@ -31,7 +31,8 @@
 
   public static void main(String[] args) {
     int code = new CommandLineProgram(System.out, System.err).run(args);
-    // A process that was told to stop is already on its way out; exit would wait for itself.
+    // A process that was told to stop is already shutting down, and a call of exit would block in
+    // its own shutdown.
     if (code != 0 || !isProcess(args)) {
       System.exit(code);
     }
--- a/landingtrack/src/main/java/org/landingtrack/LandingtrackException.java
+++ b/landingtrack/src/main/java/org/landingtrack/LandingtrackException.java
@@ -16,7 +16,8 @@
 package org.landingtrack;
 
 /**
- * The one unchecked exception of landingtrack; its {@link ErrorKind} is the code.
+ * Signals an error that is answered to a caller or an operator; its {@link ErrorKind} determines
+ * the answer.
  *
  * <pre>{@code
  * throw new LandingtrackException(ErrorKind.NOT_FOUND, "service 'estimator' does not exist");
@@ -34,7 +35,9 @@
     this(kind, message, kind.retryAfterSeconds());
   }
 
-  /** Creates an exception with its own time to come back, in seconds. */
+  /**
+   * Creates an exception with its own retry time in seconds, instead of the default of its kind.
+   */
   public LandingtrackException(ErrorKind kind, String message, int retryAfterSeconds) {
     super(message);
     this.kind = kind;
@@ -52,7 +55,7 @@
     return kind;
   }
 
-  /** Returns the seconds after which a retry makes sense; 0 if it does not help. */
+  /** Returns the seconds after which a retry makes sense; 0 if a retry does not help. */
   public int retryAfterSeconds() {
     return retryAfterSeconds;
   }
--- a/landingtrack/src/main/java/org/landingtrack/RunState.java
+++ b/landingtrack/src/main/java/org/landingtrack/RunState.java
@@ -16,16 +16,16 @@
 package org.landingtrack;
 
 /**
- * What is known about whether a request ran on a backend server.
+ * States what is known about whether a request ran on a backend server.
  *
  * @since 0.1
  */
 public enum RunState {
-  /** No byte of the request reached a backend server, or it refused the request before running. */
+  /** No byte of the request reached a backend server, or it rejected the request before running. */
   NOT_RUN("not-run"),
   /** The request ran, at least in part. */
   RAN("ran"),
-  /** The request may have run; nothing that was seen settles it. */
+  /** The request may have run; nothing observed shows whether it did. */
   UNKNOWN("unknown");
 
   private final String label;
@@ -34,7 +34,7 @@
     this.label = label;
   }
 
-  /** Returns the word that stands in answers, for example {@code not-run}. */
+  /** Returns the text used in answers, for example {@code not-run}. */
   public String label() {
     return label;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/Ctl.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/Ctl.java
@@ -108,7 +108,8 @@
         .addOption(value("ca", "FILE", "use TLS and trust this authority's certificate (PEM)"))
         .addOption(value("output", "FORMAT", "table or json"))
         .addOption(value("expected-version", "N", "fail unless this is the current version"))
-        .addOption(value("wait", "SECONDS", "wait until the change is in force on all processes"))
+        .addOption(
+            value("wait", "SECONDS", "wait until the change is in force on all live processes"))
         .addOption(value("limit", "N", "maximum number of entries; default 100"))
         .addOption(Option.builder().longOpt("dry-run").desc("validate, but change nothing").get());
   }
@@ -218,7 +219,7 @@
     }
   }
 
-  private PutReply put(String kind, String name, String spec, long objectVersion) {
+  private PutReply put(String kind, String name, String spec, long requiredVersion) {
     CatalogObject object =
         CatalogObject.newBuilder().setKind(kind).setName(name).setSpecJson(spec).build();
     PutReply reply =
@@ -227,7 +228,7 @@
             .put(
                 PutRequest.newBuilder()
                     .setObject(object)
-                    .setExpectedVersion(objectVersion)
+                    .setExpectedVersion(requiredVersion)
                     .setDryRun(dryRun)
                     .build());
     printer.changed(kind, name, reply, dryRun);
--- a/landingtrack/src/main/java/org/landingtrack/internal/settings/EntrySettings.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/settings/EntrySettings.java
@@ -36,7 +36,7 @@
  * @param storeAddress address of the platform's store
  * @param storeReadsPerSecond read calls that the store accepts from all VMs together
  * @param storeWritesPerSecond write calls that the store accepts from all VMs together
- * @param storeSettledMs time since its last failure after which the store counts as healthy
+ * @param storeSettledMs time after its last failure from which the store counts as healthy again
  * @param configMs time within which an accepted configuration must be in force
  * @param stopGraceMs time from the stop signal until the process is killed
  * @param leavingMs time for which a leaving backend server may still get requests
@@ -49,13 +49,13 @@
  * @param fencesChecked true if engines reject orders with an old fencing token
  * @param evacuationMs time within which an evacuated data centre must stop getting requests; 0 if
  *     operators evacuate none
- * @param coldOvershoot factor by which a cold server may exceed its rate within a single second
- * @param coldTolerance number of requests that it may get on top of that
+ * @param coldOvershoot multiple of its rate that a cold server can take within a single second
+ * @param coldTolerance further requests that it can take in that second
  * @param regions region of each data centre
  * @param memoryMb memory of this VM; 0 if not stated
  * @param fileDescriptors file descriptors that the process may have; 0 if not stated
  * @param linkMbps rate of this VM's network link; 0 if not stated
- * @param mechanismsOff names of the overload control mechanisms that are switched off
+ * @param mechanismsOff names of the mechanisms for high load that are switched off
  */
 public record EntrySettings(
     String vm,
--- a/landingtrack/src/main/java/org/landingtrack/internal/tls/CertificateIssuer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/tls/CertificateIssuer.java
@@ -27,22 +27,22 @@
 import org.landingtrack.LandingtrackException;
 
 /**
- * Makes an authority and the certificates of VMs, for deployments that have no authority of their
- * own. Files that exist are never replaced.
+ * Creates a certificate authority and the certificates of VMs, for deployments without an authority
+ * of their own. Never replaces existing files.
  */
 public final class CertificateIssuer {
-  /** File of a certificate. */
+  /** Name of the file with a certificate. */
   public static final String CERTIFICATE = "certificate.pem";
 
-  /** File of a private key; only its owner may read it. */
+  /** Name of the file with a private key, which only its owner may read. */
   public static final String PRIVATE_KEY = "private-key.pem";
 
-  /** File of the authority's certificate, beside each issued one. */
+  /** Name of the file with the authority's certificate, written beside each issued certificate. */
   public static final String AUTHORITY = "authority.pem";
 
   private CertificateIssuer() {}
 
-  /** Makes an authority in a folder. */
+  /** Creates an authority, valid for a number of days, and writes its files to a folder. */
   public static void newAuthority(Path folder, int days) {
     HeldCertificate authority =
         new HeldCertificate.Builder()
@@ -55,9 +55,9 @@
   }
 
   /**
-   * Issues the certificate of a VM.
+   * Issues the certificate of a VM, valid for a number of days, and writes its files to a folder.
    *
-   * @param addresses the IP addresses under which operators reach the VM
+   * @param addresses IP addresses at which operators connect to the VM
    */
   public static void issue(
       Path authorityFolder, String vm, List<String> addresses, int days, Path folder) {
@@ -80,11 +80,11 @@
     try {
       return Files.readString(file);
     } catch (IOException e) {
-      throw new LandingtrackException(ErrorKind.NOT_FOUND, "cannot read " + file);
+      throw new LandingtrackException(ErrorKind.NOT_FOUND, "cannot read file " + file);
     }
   }
 
-  private static void write(Path file, String text, boolean secret) {
+  private static void write(Path file, String text, boolean ownerOnly) {
     try {
       Path folder = file.toAbsolutePath().getParent();
       if (folder != null) {
@@ -93,11 +93,12 @@
       Files.createFile(
           file,
           PosixFilePermissions.asFileAttribute(
-              PosixFilePermissions.fromString(secret ? "rw-------" : "rw-r--r--")));
+              PosixFilePermissions.fromString(ownerOnly ? "rw-------" : "rw-r--r--")));
       Files.writeString(file, text, StandardOpenOption.WRITE);
     } catch (IOException e) {
       throw new LandingtrackException(
-          ErrorKind.BAD_REQUEST, "cannot write " + file + "; files that exist are never replaced");
+          ErrorKind.BAD_REQUEST,
+          "cannot write file " + file + "; existing files are never replaced");
     }
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/tls/TlsFiles.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/tls/TlsFiles.java
@@ -20,15 +20,15 @@
 import java.nio.file.Path;
 
 /**
- * Where a process finds its certificate, in PEM files.
+ * Names the PEM files with the TLS identity of a process.
  *
- * @param certificate its certificate and any intermediate ones, its own first
- * @param privateKey its private key in PKCS#8, not encrypted
- * @param authority the certificates whose signatures are believed
+ * @param certificate the certificate of the process, followed by any intermediate certificates
+ * @param privateKey the private key of that certificate in PKCS#8, not encrypted
+ * @param authority the certificates of the trusted authorities
  */
 public record TlsFiles(Path certificate, Path privateKey, Path authority) {
 
-  /** Returns a value that changes when one of the files is replaced. */
+  /** Returns a value that changes when one of the files is replaced: their times and sizes. */
   String fingerprint() throws IOException {
     return stamp(certificate) + stamp(privateKey) + stamp(authority);
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/tls/TlsIdentities.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/tls/TlsIdentities.java
@@ -35,15 +35,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A process's identity, exchanged for a newer one when its files are replaced. Connections that
- * stand keep the identity that they began with; new ones use the newest that could be read.
- * Thread-safe.
+ * Holds the TLS identity of a process, and replaces it by a newer one when its files change.
+ * Established connections keep the identity with which they were opened; new ones use the newest
+ * that could be read. Thread-safe.
  *
- * <pre>{@code
- * TlsIdentities identities = TlsIdentities.load(files);
- * duty.every(1_000, identities::reloadIfChanged);
- * SSLContext context = identities.context();
- * }</pre>
+ * <p>{@link #reloadIfChanged()} is to be called regularly, as {@link TlsRenewal} does. {@link
+ * #context()}, {@link #keyManager()} and {@link #trustManager()} need to be fetched only once, as
+ * they use the current identity for each new connection.
  */
 public final class TlsIdentities {
   private static final Logger log = LoggerFactory.getLogger("tls");
@@ -60,7 +58,11 @@
     this.context = newContext();
   }
 
-  /** Reads the files; throws {@link LandingtrackException} naming the file that is not right. */
+  /**
+   * Reads the files.
+   *
+   * @throws LandingtrackException naming the file that is missing or invalid
+   */
   public static TlsIdentities load(TlsFiles files) {
     return new TlsIdentities(files);
   }
@@ -75,50 +77,51 @@
 
   private SSLContext newContext() {
     try {
-      SSLContext made = SSLContext.getInstance("TLS");
-      made.init(new KeyManager[] {keyManager()}, new TrustManager[] {trustManager()}, null);
-      // A resumed session would go on under an identity that was exchanged since.
-      made.getServerSessionContext().setSessionTimeout(1);
-      return made;
+      SSLContext sslContext = SSLContext.getInstance("TLS");
+      sslContext.init(new KeyManager[] {keyManager()}, new TrustManager[] {trustManager()}, null);
+      // A resumed session would continue under an identity that has been replaced since. 1 s is the
+      // shortest timeout; 0 would set no limit.
+      sslContext.getServerSessionContext().setSessionTimeout(1);
+      return sslContext;
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException("every JDK has TLS", e);
+      throw new IllegalStateException("this JDK does not support TLS", e);
     }
   }
 
   /**
-   * Reads the files again if they changed. Files that are half replaced or wrong change nothing:
-   * the last good identity stays and the next call tries again.
+   * Reads the files again if they changed. While files are invalid, or only some of them have been
+   * replaced, the last valid identity stays in use and the next call reads them again.
    */
   public synchronized void reloadIfChanged() {
-    String now = fingerprint(files);
-    if (now.isEmpty() || now.equals(fingerprint)) {
+    String newFingerprint = fingerprint(files);
+    if (newFingerprint.isEmpty() || newFingerprint.equals(fingerprint)) {
       return;
     }
     try {
       current = TlsIdentity.load(files);
-      fingerprint = now;
-      log.info("The certificate was renewed, it ends at {}.", current.expiresAt());
+      fingerprint = newFingerprint;
+      log.info("The certificate was renewed; it expires at {}.", current.expiresAt());
     } catch (LandingtrackException e) {
       log.warn("The new certificate is not used: {}.", e.getMessage());
     }
   }
 
-  /** Returns a context that follows the identity. */
+  /** Returns a context that uses the current identity for each new connection. */
   public SSLContext context() {
     return context;
   }
 
-  /** Returns when the certificate in use ends. */
+  /** Returns when the certificate in use expires. */
   public Instant expiresAt() {
     return current.expiresAt();
   }
 
-  /** Returns the key manager that follows the identity. */
+  /** Returns a key manager that delegates to that of the current identity. */
   public X509ExtendedKeyManager keyManager() {
     return new FollowingKeyManager();
   }
 
-  /** Returns the trust manager that follows the identity. */
+  /** Returns a trust manager that delegates to that of the current identity. */
   public X509ExtendedTrustManager trustManager() {
     return new FollowingTrustManager();
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/tls/TlsRenewal.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/tls/TlsRenewal.java
@@ -21,7 +21,10 @@
 import org.landingtrack.internal.base.Duty;
 import org.landingtrack.internal.base.Metrics;
 
-/** A process's TLS, if its settings name any, kept in step with the files. Thread-safe. */
+/**
+ * Loads the TLS identity of a process, if its settings name TLS files, and reloads it when the
+ * files change. Thread-safe.
+ */
 public final class TlsRenewal implements AutoCloseable {
   private static final long CHECK_MS = 1_000;
   private static final int RING = 4;
@@ -29,34 +32,34 @@
   private final @Nullable TlsIdentities identities;
   private final @Nullable Duty duty;
 
-  private TlsRenewal(@Nullable TlsIdentities identities) {
-    this.identities = identities;
-    this.duty = identities == null ? null : Duty.start("tls", RING);
+  private TlsRenewal(@Nullable TlsIdentities tlsIdentity) {
+    this.identities = tlsIdentity;
+    this.duty = tlsIdentity == null ? null : Duty.start("tls", RING);
   }
 
-  /** Loads the files and looks for newer ones each second; null means no TLS. */
+  /** Loads the files and checks for changes each second; null means no TLS. */
   public static TlsRenewal start(@Nullable TlsFiles files, Metrics metrics) {
     if (files == null) {
       return new TlsRenewal(null);
     }
-    TlsIdentities identities = TlsIdentities.load(files);
-    TlsRenewal renewal = new TlsRenewal(identities);
+    TlsIdentities tlsIdentity = TlsIdentities.load(files);
+    TlsRenewal renewal = new TlsRenewal(tlsIdentity);
     if (renewal.duty != null) {
-      renewal.duty.every(CHECK_MS, identities::reloadIfChanged);
+      renewal.duty.every(CHECK_MS, tlsIdentity::reloadIfChanged);
     }
     metrics.gauge(
         "landingtrack_certificate_expires_seconds",
-        "Unix time at which the own certificate ends.",
-        () -> identities.expiresAt().getEpochSecond());
+        "Unix time in seconds at which this process's TLS certificate expires.",
+        () -> tlsIdentity.expiresAt().getEpochSecond());
     return renewal;
   }
 
-  /** Returns the identities; empty without TLS. */
+  /** Returns the current identity; empty without TLS. */
   public Optional<TlsIdentities> identities() {
     return Optional.ofNullable(identities);
   }
 
-  /** Returns the context; empty without TLS. */
+  /** Returns the TLS context, which uses the current identity; empty without TLS. */
   public Optional<SSLContext> context() {
     return identities().map(TlsIdentities::context);
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/tls/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/tls/package-info.java
@@ -1,3 +1,6 @@
-/** Keys and certificates of processes and operators, read from files and renewed without a stop. */
+/**
+ * TLS identities of processes: keys and certificates that are read from files and renewed without a
+ * restart, and an issuer for deployments without an authority of their own.
+ */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.tls;
--- a/landingtrack/src/main/java/org/landingtrack/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/package-info.java
@@ -1,5 +1,3 @@
-/**
- * The program landingtrack: its entry point, and the error kinds that callers and operators see.
- */
+/** The entry point of landingtrack, and the error kinds that callers and operators get. */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack;
--- a/landingtrack/src/test/java/org/landingtrack/internal/tls/TlsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/tls/TlsTest.java
@@ -39,7 +39,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Keys and certificates: what is refused, who may talk to whom, and renewal without a stop. */
+/**
+ * Tests which TLS files are rejected, which processes may connect to each other, and that
+ * certificates are renewed without a restart.
+ */
 public final class TlsTest {
   private static final int CALL_MS = 5_000;
   private static final AtomicLong MODIFIED = new AtomicLong(1_000_000);
@@ -118,7 +121,7 @@
   @DataProvider
   public Object[][] pairs() {
     return new Object[][] {
-      // client, server, whether they talk
+      // client, server, whether they connect
       {Side.OWN, Side.OWN, true},
       {Side.FOREIGN, Side.OWN, false},
       {Side.OWN, Side.FOREIGN, false},
@@ -129,11 +132,11 @@
   }
 
   @Test(dataProvider = "pairs")
-  public void onlyProcessesOfOneAuthorityTalk(Side client, Side server, boolean talk) {
+  public void onlyProcessesOfOneAuthorityTalk(Side client, Side server, boolean connects) {
     try (PeerServer peer = server(sockets(server, "a"));
         PeerClient caller = new PeerClient(sockets(client, "b"))) {
       String address = "127.0.0.1:" + peer.port();
-      if (talk) {
+      if (connects) {
         assertEquals(ask(caller, address).leaving(), List.of("seen"));
       } else {
         assertThrows(PeerException.class, () -> ask(caller, address));
@@ -155,7 +158,7 @@
         folder.resolve(vm).resolve(file),
         target.resolve(file),
         StandardCopyOption.REPLACE_EXISTING);
-    // The time of a file may be as coarse as a second.
+    // File systems may store times in whole seconds.
     Files.setLastModifiedTime(target.resolve(file), FileTime.fromMillis(MODIFIED.addAndGet(5_000)));
   }
 
@@ -165,7 +168,10 @@
     replace(target, vm, CertificateIssuer.PRIVATE_KEY);
   }
 
-  /** A certificate whose key has not come yet is not used; connections that stand go on. */
+  /**
+   * A new certificate is not used before its key has been written too, and established connections
+   * continue.
+   */
   @Test
   public void aRenewalNeedsNoStopAndAHalfRenewalChangesNothing() throws IOException {
     Path target = Files.createDirectory(folder.resolve("renewal"));
