--- a/landingtrack/src/main/java/org/landingtrack/internal/settings/SettingKey.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/settings/SettingKey.java
@@ -48,11 +48,11 @@
     FLAG
   }
 
-  static SettingKey number(String path, @Nullable Long defaultValue, long min, long max) {
+  static SettingKey number(String path, @Nullable Long defaultNumber, long min, long max) {
     return new SettingKey(
         path,
         Type.NUMBER,
-        defaultValue,
+        defaultNumber,
         min,
         max,
         null,
@@ -74,22 +74,22 @@
   }
 
   /** Creates an optional key for a number that may have a fraction. */
-  static SettingKey decimalOr(String path, double defaultValue, long min, long max) {
+  static SettingKey decimalOr(String path, double defaultDecimal, long min, long max) {
     return new SettingKey(
-        path, Type.DECIMAL, defaultValue, min, max, null, "a number from " + min + " to " + max);
+        path, Type.DECIMAL, defaultDecimal, min, max, null, "a number from " + min + " to " + max);
   }
 
   static SettingKey flag(String path) {
     return new SettingKey(path, Type.FLAG, null, 0, 0, null, "true or false");
   }
 
-  static SettingKey text(String path, @Nullable String defaultValue, String regex, String allowed) {
-    return new SettingKey(path, Type.TEXT, defaultValue, 0, 0, Pattern.compile(regex), allowed);
+  static SettingKey text(String path, @Nullable String defaultText, String regex, String allowed) {
+    return new SettingKey(path, Type.TEXT, defaultText, 0, 0, Pattern.compile(regex), allowed);
   }
 
   static SettingKey texts(
-      String path, @Nullable List<String> defaultValue, String regex, String allowed) {
+      String path, @Nullable List<String> defaultTexts, String regex, String allowed) {
     return new SettingKey(
-        path, Type.TEXTS, defaultValue, 0, 0, Pattern.compile(regex), "a list, each " + allowed);
+        path, Type.TEXTS, defaultTexts, 0, 0, Pattern.compile(regex), "a list, each " + allowed);
   }
 }
