--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/AnswerSink.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/AnswerSink.java
@@ -19,9 +19,11 @@
 import org.landingtrack.internal.engine.TokenSink;
 import org.landingtrack.internal.routing.LoadReport;
 
-/** Brings an answer to its caller. */
+/**
+ * Sends the answer of a model to its caller, token by token or in one piece. Used by one thread.
+ */
 interface AnswerSink extends TokenSink {
-  /** Ends a whole answer. */
+  /** Completes the answer with its usage and how it came about. Not called if the request fails. */
   void end(DispatchReport report);
 
   @Override
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/BodyReader.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/BodyReader.java
@@ -23,18 +23,24 @@
 import org.landingtrack.LandingtrackException;
 import org.landingtrack.internal.base.Ticker;
 
-/** Reads a caller's body within a size and a time. */
+/** Reads a caller's request body within a limit on its size and one on its time. */
 final class BodyReader {
   private static final int CHUNK_BYTES = 16_384;
 
   private BodyReader() {}
 
+  /**
+   * Reads the whole body.
+   *
+   * @param declaredLength from the header {@code Content-Length}; -1 if there is none
+   * @throws LandingtrackException if the body is too large, too slow, or the connection fails
+   */
   static byte[] read(
       InputStream in, long declaredLength, int maxBytes, long timeoutMs, Ticker ticker) {
     if (declaredLength > maxBytes) {
       throw tooLarge(maxBytes);
     }
-    long endMs = ticker.millis() + timeoutMs;
+    long deadlineMs = ticker.millis() + timeoutMs;
     ByteArrayOutputStream body = new ByteArrayOutputStream();
     byte[] chunk = new byte[CHUNK_BYTES];
     try {
@@ -47,7 +53,7 @@
         if (body.size() > maxBytes) {
           throw tooLarge(maxBytes);
         }
-        if (ticker.millis() > endMs) {
+        if (ticker.millis() > deadlineMs) {
           throw tooSlow(timeoutMs);
         }
       }
@@ -55,7 +61,8 @@
       if (e.getCause() instanceof TimeoutException || e.toString().contains("Timeout")) {
         throw tooSlow(timeoutMs);
       }
-      throw new LandingtrackException(ErrorKind.BAD_REQUEST, "the body broke off", e);
+      throw new LandingtrackException(
+          ErrorKind.BAD_REQUEST, "the connection failed before the request body was complete", e);
     }
   }
 
@@ -66,6 +73,6 @@
 
   private static LandingtrackException tooSlow(long timeoutMs) {
     return new LandingtrackException(
-        ErrorKind.BODY_TIMEOUT, "the body did not come within " + timeoutMs + " ms");
+        ErrorKind.BODY_TIMEOUT, "the body was not received within " + timeoutMs + " ms");
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/CallerAnswer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/CallerAnswer.java
@@ -20,11 +20,11 @@
 import org.landingtrack.internal.base.Json;
 import org.landingtrack.internal.dispatch.DispatchReport;
 
-/** The JSON shapes of answers to callers. */
+/** Builds the JSON bodies of answers to callers. */
 final class CallerAnswer {
   private CallerAnswer() {}
 
-  /** Returns the body of an error answer: kind, whether it ran, when to come back. */
+  /** Returns the body of an error answer: its kind, whether the request ran, when to retry. */
   static ObjectNode error(String requestId, LandingtrackException e) {
     ObjectNode body = Json.LENIENT.createObjectNode();
     ObjectNode error = body.putObject("error");
@@ -47,7 +47,7 @@
     return body;
   }
 
-  /** Returns the last chunk, which says how the answer came about. */
+  /** Returns the last chunk, which has the usage, the backend server and the attempts. */
   static ObjectNode lastChunk(String requestId, String model, DispatchReport report) {
     ObjectNode body = head(requestId, "chat.completion.chunk", model);
     ObjectNode choice = choice(body);
@@ -57,7 +57,7 @@
     return body;
   }
 
-  /** Returns a whole answer. */
+  /** Returns the body of an answer that is not streamed. */
   static ObjectNode whole(String requestId, String model, String text, DispatchReport report) {
     ObjectNode body = head(requestId, "chat.completion", model);
     ObjectNode choice = choice(body);
@@ -82,10 +82,10 @@
     usage.put("completion_tokens", report.usage().completionTokens());
     usage.put("total_tokens", report.usage().promptTokens() + report.usage().completionTokens());
     usage.putObject("prompt_tokens_details").put("cached_tokens", report.usage().cachedTokens());
-    ObjectNode own = body.putObject("landingtrack");
-    own.put("backend_server", report.server());
-    own.put("weight_version", report.weightVersion());
-    own.put("ttft_ms", report.ttftMs());
-    own.put("attempts", report.attempts());
+    ObjectNode extension = body.putObject("landingtrack");
+    extension.put("backend_server", report.server());
+    extension.put("weight_version", report.weightVersion());
+    extension.put("ttft_ms", report.ttftMs());
+    extension.put("attempts", report.attempts());
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/CallerApi.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/CallerApi.java
@@ -50,8 +50,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The callers' HTTP interface: {@code POST /v1/chat/completions} and {@code /services/{service}/…}.
- * Thread-safe.
+ * Serves the callers' HTTP interface: {@code POST /v1/chat/completions} for models and {@code
+ * /services/{service}/…} for plain HTTP services. Authenticates the team, checks that it may use
+ * the service, enforces its rate limit and hands the request to a dispatcher. Thread-safe.
  */
 public final class CallerApi {
   private static final Logger log = LoggerFactory.getLogger("caller");
@@ -79,17 +80,17 @@
   private final Counter requests;
   private final Histogram ttft;
 
-  /** Bounds on what a caller may send. */
+  /** Limits on what a caller may send, and the deadline of a request that names none. */
   public record CallerLimits(int maxBodyBytes, long bodyTimeoutMs, long defaultDeadlineMs) {}
 
   public CallerApi(
       Supplier<Catalog> catalog,
       BooleanSupplier accepting,
       TeamLimiter limiter,
-      ModelDispatcher models,
-      PlainDispatcher plains,
+      ModelDispatcher modelDispatcher,
+      PlainDispatcher plainDispatcher,
       Explainer explainer,
-      RequestIds ids,
+      RequestIds requestIds,
       CallerLimits limits,
       InFlight inFlight,
       Ticker ticker,
@@ -97,10 +98,10 @@
     this.catalog = catalog;
     this.accepting = accepting;
     this.limiter = limiter;
-    this.models = models;
-    this.plains = plains;
+    this.models = modelDispatcher;
+    this.plains = plainDispatcher;
     this.explainer = explainer;
-    this.ids = ids;
+    this.ids = requestIds;
     this.limits = limits;
     this.inFlight = inFlight;
     this.ticker = ticker;
@@ -112,7 +113,7 @@
             "landingtrack_ttft_seconds", "Time from arrival to first token.", "service");
   }
 
-  /** Adds the routes. */
+  /** Adds the routes of this interface to an HTTP server. */
   public void addRoutes(JavalinConfig config) {
     config.routes.post("/v1/chat/completions", ctx -> handle(ctx, "chat", this::completion));
     for (HandlerType method : PLAIN_METHODS) {
@@ -121,18 +122,18 @@
     }
   }
 
-  /** Handles one checked-in request. */
+  /** Handles one request that counts as in flight. */
   @FunctionalInterface
   private interface Step {
     void run(Context ctx, String requestId, Trace trace) throws InterruptedException;
   }
 
-  private void handle(Context ctx, String what, Step step) throws InterruptedException {
+  private void handle(Context ctx, String label, Step step) throws InterruptedException {
     String id = ids.next();
     ctx.header(CallerHeaders.REQUEST_ID, id);
     Trace trace = new Trace();
     if (!inFlight.tryEnter()) {
-      refuse(ctx, id, what, new LandingtrackException(ErrorKind.STOPPING, "this VM is stopping"));
+      refuse(ctx, id, label, new LandingtrackException(ErrorKind.STOPPING, "this VM is stopping"));
       return;
     }
     try {
@@ -150,22 +151,23 @@
               + "): "
               + e.getMessage()
               + ".");
-      refuse(ctx, id, what, e);
+      refuse(ctx, id, label, e);
     } catch (CallerGoneException e) {
-      trace.say("The caller closed its connection; the run was cancelled.");
-      requests.labelValues(what, "CALLER_GONE").inc();
+      trace.say("The caller closed its connection; the attempt was cancelled.");
+      requests.labelValues(label, "CALLER_GONE").inc();
     } finally {
       inFlight.leave();
       explainer.note(id, trace.sentences());
     }
   }
 
-  private void refuse(Context ctx, String id, String what, LandingtrackException e) {
-    requests.labelValues(what, e.kind().name()).inc();
+  private void refuse(Context ctx, String id, String label, LandingtrackException e) {
+    requests.labelValues(label, e.kind().name()).inc();
     log.debug("Request {} ended with {}: {}.", id, e.kind(), e.getMessage());
     ObjectNode body = CallerAnswer.error(id, e);
     if (ctx.res().isCommitted()) {
-      // A stream without its end mark is not whole; the event says why.
+      // The stream has begun: send the error as an event and no end mark, so the answer counts as
+      // incomplete.
       SseWriter.tryError(ctx, body);
       return;
     }
@@ -177,7 +179,7 @@
     ctx.result(body.toString());
   }
 
-  /** A caller that was let in, with the service that it may use. */
+  /** An authenticated team with a service that a rule lets it use. */
   private record Entry(String team, Team teamSpec, String serviceName, Service service, Rule rule) {
     double weight(int priority) {
       return teamSpec.weight() * (1 << Math.min(priority, rule.maxPriority()));
@@ -198,14 +200,18 @@
             () -> new LandingtrackException(ErrorKind.UNAUTHENTICATED, "the key is not known"));
   }
 
-  /** A service that the team may not use looks like one that does not exist. */
+  /**
+   * Finds the service and the rule that lets the team use it. A service that the team may not use
+   * gives the same error as one that does not exist.
+   */
   private Entry entry(String team, String serviceName, boolean model) {
-    Catalog now = catalog.get();
-    Team teamSpec = now.find(Kind.TEAM, team, Team.class).orElse(null);
-    Service service = now.find(Kind.SERVICE, serviceName, Service.class).orElse(null);
-    Rule rule = now.rule(team, serviceName).orElse(null);
-    boolean fits = service != null && (model ? service.isModel() : service.type().equals("plain"));
-    if (teamSpec == null || service == null || rule == null || !fits) {
+    Catalog current = catalog.get();
+    Team teamSpec = current.find(Kind.TEAM, team, Team.class).orElse(null);
+    Service service = current.find(Kind.SERVICE, serviceName, Service.class).orElse(null);
+    Rule rule = current.rule(team, serviceName).orElse(null);
+    boolean typeMatches =
+        service != null && (model ? service.isModel() : service.type().equals("plain"));
+    if (teamSpec == null || service == null || rule == null || !typeMatches) {
       throw new LandingtrackException(
           ErrorKind.NOT_FOUND, "service '" + serviceName + "' does not exist");
     }
@@ -273,7 +279,7 @@
     Entry entry = entry(team, ctx.pathParam("service"), false);
     byte[] body = body(ctx);
     String method = ctx.method().name();
-    boolean safeMethod = method.equals("GET") || method.equals("HEAD");
+    boolean isSafeMethod = method.equals("GET") || method.equals("HEAD");
     @Nullable String type = ctx.header("Content-Type");
     PlainCall call =
         new PlainCall(
@@ -291,7 +297,7 @@
             entry.service(),
             entry.weight(headers.priority()),
             call,
-            safeMethod && !headers.noRepeat(),
+            isSafeMethod && !headers.noRepeat(),
             keyHash(team, entry.serviceName(), headers.requestKey()),
             ticker.millis() + headers.deadlineMs());
     trace.say("Team " + team + " called plain service " + entry.serviceName() + ".");
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/CallerHeaders.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/CallerHeaders.java
@@ -21,12 +21,13 @@
 import org.landingtrack.LandingtrackException;
 
 /**
- * What a caller says in headers.
+ * The landingtrack headers of a caller's request, parsed and checked.
  *
- * @param deadlineMs time that it gives for the answer to begin
- * @param priority 0 (usual) to 9
- * @param noRepeat true if the request must run at most once
- * @param requestKey names the request across retries of the caller; empty if there is none
+ * @param deadlineMs time within which the answer must begin
+ * @param priority 0 (the default) to 9, the highest
+ * @param noRepeat true if the request must run at most once, so that it is never retried after it
+ *     may have run
+ * @param requestKey idempotency key: the same for all retries by the caller; empty if there is none
  */
 record CallerHeaders(long deadlineMs, int priority, boolean noRepeat, String requestKey) {
   static final String REQUEST_ID = "Landingtrack-Request-Id";
@@ -37,6 +38,7 @@
   private static final int MAX_KEY = 200;
   private static final long MAX_DEADLINE_MS = 3_600_000;
 
+  /** Reads the headers; throws {@code BAD_REQUEST} naming the header that is not valid. */
   static CallerHeaders of(Context ctx, long defaultDeadlineMs) {
     long deadline = number(ctx, DEADLINE, defaultDeadlineMs, 1, MAX_DEADLINE_MS);
     int priority = (int) number(ctx, PRIORITY, 0, 0, 9);
@@ -62,7 +64,7 @@
         return value;
       }
     } catch (NumberFormatException e) {
-      // The answer below names what is allowed.
+      // The error below states the allowed range.
     }
     throw bad(name, "a whole number from " + min + " to " + max);
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/ChatRequest.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/ChatRequest.java
@@ -23,16 +23,19 @@
 import org.landingtrack.internal.base.Json;
 
 /**
- * The parts of a chat/completions body that matter here; other keys are ignored, as is usual.
+ * The fields of a chat/completions request that landingtrack uses. Other keys are ignored, as is
+ * usual for this interface.
  *
  * @param model name of the service
- * @param prompt all messages as one text
+ * @param messages the messages as received, passed on to the engine unchanged
+ * @param prompt all messages as one text, from which the keys for prefix matching are made
  */
 record ChatRequest(String model, JsonNode messages, String prompt, int maxTokens, boolean stream) {
   private static final int DEFAULT_MAX_TOKENS = 256;
   private static final int MAX_MAX_TOKENS = 1_000_000;
   private static final int MAX_MESSAGES = 10_000;
 
+  /** Parses a request body; throws {@code BAD_REQUEST} naming the field that is not valid. */
   static ChatRequest parse(byte[] body) {
     JsonNode root = tree(body);
     if (!root.isObject()) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/InFlight.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/InFlight.java
@@ -15,17 +15,20 @@
  */
 package org.landingtrack.internal.caller;
 
-/** Counts the requests in flight and closes the door for a planned stop. Thread-safe. */
+/**
+ * Counts the requests in flight, limits them, and admits no more once a planned stop has begun.
+ * Thread-safe.
+ */
 public final class InFlight {
   private final int max;
   private int count;
   private boolean closed;
 
-  public InFlight(int max) {
-    this.max = max;
+  public InFlight(int maxConcurrent) {
+    this.max = maxConcurrent;
   }
 
-  /** Lets a request in unless the door is closed or too many are in. */
+  /** Admits a request unless this is closed or the limit is reached; returns whether it did. */
   synchronized boolean tryEnter() {
     if (closed || count >= max) {
       return false;
@@ -34,12 +37,13 @@
     return true;
   }
 
+  /** Ends a request that {@link #tryEnter} admitted. */
   synchronized void leave() {
     count--;
     notifyAll();
   }
 
-  /** Closes the door. */
+  /** Admits no further requests; those in flight go on. */
   public synchronized void close() {
     closed = true;
   }
@@ -49,15 +53,15 @@
     return closed;
   }
 
-  /** Waits until all requests have ended, at most so long; returns how many are left. */
+  /** Waits until no request is in flight or the timeout ends; returns how many are left. */
   public synchronized int awaitEmpty(long timeoutMs) throws InterruptedException {
-    long end = System.nanoTime() + timeoutMs * 1_000_000;
+    long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000;
     while (count > 0) {
-      long leftMs = (end - System.nanoTime()) / 1_000_000;
-      if (leftMs <= 0) {
+      long remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000;
+      if (remainingMs <= 0) {
         break;
       }
-      wait(leftMs);
+      wait(remainingMs);
     }
     return count;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/RequestIds.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/RequestIds.java
@@ -18,7 +18,10 @@
 import java.security.SecureRandom;
 import java.util.HexFormat;
 
-/** Makes request ids: {@code <vm>.<random>}, so that an id names the entry VM. Thread-safe. */
+/**
+ * Generates request ids of the form {@code <vm>.<random>}, so that an id names the VM that received
+ * the request. Thread-safe.
+ */
 public final class RequestIds {
   private static final int RANDOM_BYTES = 9;
 
@@ -36,7 +39,7 @@
     return vm + "." + HexFormat.of().formatHex(bytes);
   }
 
-  /** Returns the VM that an id names; empty if the id is not one of ours. */
+  /** Returns the VM that an id names; empty if the id does not have that form. */
   public static String vmOf(String requestId) {
     int dot = requestId.indexOf('.');
     return dot < 0 ? "" : requestId.substring(0, dot);
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/SseWriter.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/SseWriter.java
@@ -24,7 +24,10 @@
 import org.landingtrack.internal.dispatch.DispatchReport;
 import org.landingtrack.internal.engine.CallerGoneException;
 
-/** Sends each token on as a server-sent event. */
+/**
+ * Streams an answer to the caller, each token as a server-sent event. Throws {@link
+ * CallerGoneException} when the caller has closed its connection.
+ */
 final class SseWriter implements AnswerSink {
   private final Context ctx;
   private final String requestId;
@@ -50,18 +53,18 @@
 
   private void send(String data) {
     try {
-      OutputStream open = open();
-      open.write(("data: " + data + "\n\n").getBytes(StandardCharsets.UTF_8));
-      open.flush();
+      OutputStream stream = open();
+      stream.write(("data: " + data + "\n\n").getBytes(StandardCharsets.UTF_8));
+      stream.flush();
     } catch (IOException e) {
       throw new CallerGoneException(e);
     }
   }
 
   private OutputStream open() throws IOException {
-    OutputStream known = out;
-    if (known != null) {
-      return known;
+    OutputStream existing = out;
+    if (existing != null) {
+      return existing;
     }
     ctx.res().setContentType("text/event-stream");
     ctx.res().setCharacterEncoding("utf-8");
@@ -71,14 +74,14 @@
     return opened;
   }
 
-  /** Sends an error into a stream that has begun; the end mark is left out. */
+  /** Sends an error event on a stream that has begun, without the end mark {@code [DONE]}. */
   static void tryError(Context ctx, ObjectNode body) {
     try {
       OutputStream out = ctx.res().getOutputStream();
       out.write(("event: error\ndata: " + body + "\n\n").getBytes(StandardCharsets.UTF_8));
       out.flush();
     } catch (IOException e) {
-      // The caller is gone; there is nobody to tell.
+      // The caller closed its connection, so there is no one to send the error to.
     }
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/WholeAnswer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/WholeAnswer.java
@@ -18,7 +18,7 @@
 import io.javalin.http.Context;
 import org.landingtrack.internal.dispatch.DispatchReport;
 
-/** Collects the tokens and answers once they are all there. */
+/** Buffers the tokens and sends the answer as one JSON body when it is complete. */
 final class WholeAnswer implements AnswerSink {
   private final Context ctx;
   private final String requestId;
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/BackendClient.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/BackendClient.java
@@ -16,26 +16,33 @@
 package org.landingtrack.internal.engine;
 
 /**
- * Calls to backend servers. Every call makes one attempt and never repeats by itself; the outcome
- * says whether anything ran. Implementations are thread-safe.
+ * Sends requests to backend servers. Every call is one attempt and is never retried here; its
+ * outcome says whether the server ran anything. Calls block. Implementations are thread-safe.
  */
 public interface BackendClient {
-  /** Runs a completion and brings its tokens from {@code resumeOffset} on. */
+  /** Runs a completion and passes its tokens on, from the call's {@code resumeOffset}. */
   CompletionOutcome complete(String address, CompletionCall call, TokenSink sink);
 
-  /** Takes up the stream of an attempt that still runs, from a token on. */
+  /**
+   * Reconnects to the stream of an attempt that still runs.
+   *
+   * @param from offset of the first token that is wanted
+   */
   CompletionOutcome resume(String address, CompletionCall call, int from, TokenSink sink);
 
-  /** Cancels an attempt. */
+  /** Cancels an attempt and returns whether it had run. */
   Cancelled cancel(String address, String attempt);
 
-  /** Makes an engine import kept state; returns the bytes that were moved. */
+  /**
+   * Makes an engine import stored KV cache blocks; returns the bytes that were transferred, 0 if
+   * the import failed.
+   */
   long importKept(String address, KeptImport order);
 
-  /** Calls a plain service. */
+  /** Calls a plain HTTP service. */
   PlainOutcome plain(String address, PlainCall call);
 
-  /** What a cancelled attempt had done. */
+  /** Whether a cancelled attempt had run; {@code UNKNOWN} if the server did not answer. */
   enum Cancelled {
     NEVER_RAN,
     RAN,
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/CallerGoneException.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/CallerGoneException.java
@@ -15,11 +15,11 @@
  */
 package org.landingtrack.internal.engine;
 
-/** The caller closed its connection; the run is cancelled. */
+/** Thrown when the caller has closed its connection; the attempt is then cancelled. */
 public final class CallerGoneException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   public CallerGoneException(Throwable cause) {
-    super("the caller is gone", cause);
+    super("the caller closed its connection", cause);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/CompletionCall.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/CompletionCall.java
@@ -22,12 +22,13 @@
  * One attempt to run a completion on a model engine.
  *
  * @param attempt id that every chunk of the answer must carry
- * @param messages the caller's messages as they came
- * @param weightVersion the version that the engine must have
- * @param cacheKeys content keys of the prompt's blocks
- * @param resumeOffset tokens that the caller already has
- * @param firstTokenBeforeMs monotonic time by which the first token must come
- * @param idleMs longest silence within the answer
+ * @param messages the caller's messages, unchanged
+ * @param weightVersion version of the weights that the engine must have loaded; it refuses
+ *     otherwise
+ * @param cacheKeys content hashes of the prompt's blocks, for the prefix cache
+ * @param resumeOffset number of tokens that the caller already has; the stream starts after them
+ * @param firstTokenBeforeMs deadline of the first token, on the monotonic clock {@code Ticker}
+ * @param idleMs longest time without data within the answer, in milliseconds
  */
 public record CompletionCall(
     String attempt,
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/CompletionOutcome.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/CompletionOutcome.java
@@ -15,52 +15,57 @@
  */
 package org.landingtrack.internal.engine;
 
-/** How an attempt ended. */
+/** How an attempt to run a completion ended. */
 public sealed interface CompletionOutcome {
-  /** The whole answer came, with its end mark. */
+  /** The answer is complete, with its end mark. */
   record Whole(Usage usage) implements CompletionOutcome {}
 
   /**
-   * Nothing ran, for certain.
+   * It is certain that the server ran nothing, so a retry is safe.
    *
-   * @param currentWeightVersion the version that the server has instead; empty unless that is why
+   * @param currentWeightVersion version of the weights that the server has loaded instead; empty
+   *     unless the reason is {@link Reason#OTHER_VERSION}
    */
   record NotRun(String why, Reason reason, String currentWeightVersion)
       implements CompletionOutcome {
     /** Why a server did not run a request. */
     public enum Reason {
-      /** It has no room now. */
+      /** It has no free capacity now. */
       BUSY,
-      /** It is loading weights and comes back by itself. */
+      /** It is loading weights and will accept requests again without intervention. */
       LOADING,
-      /** It is leaving and takes no new work. */
+      /** It is leaving: it shuts down and accepts no new requests. */
       LEAVING,
-      /** It has another weight version. */
+      /** It has loaded another version of the weights. */
       OTHER_VERSION,
-      /** It looks broken. */
+      /** It could not be reached, or refused for another reason; counts against its health. */
       FAULT
     }
 
-    /** Returns an outcome for a server that is merely busy, or broken. */
-    public static NotRun of(String why, boolean fault) {
-      return new NotRun(why, fault ? Reason.FAULT : Reason.BUSY, "");
+    /** Returns an outcome with reason {@link Reason#FAULT} or {@link Reason#BUSY}. */
+    public static NotRun of(String detail, boolean isFault) {
+      return new NotRun(detail, isFault ? Reason.FAULT : Reason.BUSY, "");
     }
 
     /**
-     * Returns true if the refusal only told what the server has loaded. Nothing failed then, and
-     * trying another server is no retry.
+     * Returns true if the server refused only because of the weights that it has loaded. Nothing
+     * failed then, and an attempt at another server does not count as a retry.
      */
     public boolean isAboutWeights() {
       return reason == Reason.LOADING || reason == Reason.OTHER_VERSION;
     }
   }
 
-  /** The answer broke off, or it is not known whether the request ran. */
+  /** In doubt: the answer is incomplete, or it is not known whether the request ran. */
   record Broken(String why) implements CompletionOutcome {}
 
-  /** The engine says that the run failed. */
+  /** The engine ran the request and reported an error. */
   record Failed(String why) implements CompletionOutcome {}
 
-  /** The deadline for the first token passed and the run was given up, as a run or before it. */
+  /**
+   * The deadline of the first token passed and the attempt was cancelled.
+   *
+   * @param ran false only if it is certain that the server had not started the request
+   */
   record TooLate(boolean ran) implements CompletionOutcome {}
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/HttpBackendClient.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/HttpBackendClient.java
@@ -39,7 +39,10 @@
 import org.landingtrack.internal.engine.CompletionOutcome.NotRun;
 import org.landingtrack.internal.engine.CompletionOutcome.TooLate;
 
-/** {@link BackendClient} over HTTP. */
+/**
+ * {@link BackendClient} over HTTP with pooled connections. The HTTP library's own retries and
+ * redirects are off, so that each call stays one attempt. Thread-safe.
+ */
 public final class HttpBackendClient implements BackendClient {
   private static final MediaType JSON_TYPE = MediaType.get("application/json");
   private static final long CONNECT_MS = 1_000;
@@ -49,13 +52,13 @@
   private static final int TOO_MANY = 429;
   private static final int UNAVAILABLE = 503;
 
-  /** Header by which a backend server says that it refused before running. */
+  /** Response header: the server refused the request and ran nothing. */
   public static final String NOT_RUN_HEADER = "X-Not-Run";
 
-  /** Header by which a backend server says that it refused because it is leaving. */
+  /** Response header: the server refused the request because it is leaving (shutting down). */
   public static final String LEAVING_HEADER = "X-Leaving";
 
-  /** An engine's answer that did not run because it loads weights carries this header as well. */
+  /** Response header of an engine, beside {@link #NOT_RUN_HEADER}: it is loading weights. */
   public static final String LOADING_HEADER = "X-Loading";
 
   private final OkHttpClient client;
@@ -83,12 +86,12 @@
     body.set("messages", call.messages());
     body.put("max_tokens", call.maxTokens());
     body.put("stream", true);
-    ObjectNode extra = body.putObject("landingtrack");
-    extra.put("attempt", call.attempt());
-    extra.put("weight_version", call.weightVersion());
-    extra.put("priority", call.priority());
-    extra.put("resume_offset", call.resumeOffset());
-    call.cacheKeys().forEach(extra.putArray("cache_keys")::add);
+    ObjectNode extension = body.putObject("landingtrack");
+    extension.put("attempt", call.attempt());
+    extension.put("weight_version", call.weightVersion());
+    extension.put("priority", call.priority());
+    extension.put("resume_offset", call.resumeOffset());
+    call.cacheKeys().forEach(extension.putArray("cache_keys")::add);
     Request request =
         new Request.Builder()
             .url("http://" + address + "/v1/chat/completions")
@@ -104,57 +107,57 @@
             .url("http://" + address + "/v1/streams/" + call.attempt() + "?from=" + from)
             .build();
     CompletionOutcome outcome = stream(address, request, call, from, sink);
-    // The attempt did run, so a refused resume must not read as "not run".
+    // The attempt did run, so a refused resume must not be reported as not run: a retry is unsafe.
     return outcome instanceof NotRun notRun ? new Broken(notRun.why()) : outcome;
   }
 
   private CompletionOutcome stream(
       String address, Request request, CompletionCall call, int from, TokenSink sink) {
     SendStage stage = new SendStage();
-    OkHttpClient own =
+    OkHttpClient callClient =
         client
             .newBuilder()
             .eventListener(stage)
             .readTimeout(call.idleMs(), TimeUnit.MILLISECONDS)
             .writeTimeout(call.idleMs(), TimeUnit.MILLISECONDS)
             .build();
-    Call http = own.newCall(request);
-    AtomicBoolean late = new AtomicBoolean();
-    Future<?> alarm = armDeadline(http, call, late);
+    Call httpCall = callClient.newCall(request);
+    AtomicBoolean deadlinePassed = new AtomicBoolean();
+    Future<?> deadlineTask = armDeadline(httpCall, call, deadlinePassed);
     StreamReader reader = new StreamReader(call.attempt(), from, sink, ticker);
-    try (Response response = http.execute()) {
+    try (Response response = httpCall.execute()) {
       if (!response.isSuccessful()) {
         return refusal(response);
       }
-      return reader.read(response.body().source(), () -> alarm.cancel(false));
+      return reader.read(response.body().source(), () -> deadlineTask.cancel(false));
     } catch (CallerGoneException e) {
-      http.cancel();
+      httpCall.cancel();
       var unused = cancel(address, call.attempt());
       throw e;
     } catch (IOException e) {
-      return broken(address, call, stage, late.get(), e);
+      return broken(address, call, stage, deadlinePassed.get(), e);
     } finally {
-      alarm.cancel(false);
+      deadlineTask.cancel(false);
     }
   }
 
-  private Future<?> armDeadline(Call http, CompletionCall call, AtomicBoolean late) {
-    long leftMs = Math.max(1, call.firstTokenBeforeMs() - ticker.millis());
+  private Future<?> armDeadline(Call httpCall, CompletionCall call, AtomicBoolean deadlinePassed) {
+    long remainingMs = Math.max(1, call.firstTokenBeforeMs() - ticker.millis());
     return deadlines.schedule(
         () -> {
-          late.set(true);
-          http.cancel();
+          deadlinePassed.set(true);
+          httpCall.cancel();
         },
-        leftMs,
+        remainingMs,
         TimeUnit.MILLISECONDS);
   }
 
   private CompletionOutcome broken(
-      String address, CompletionCall call, SendStage stage, boolean late, IOException e) {
+      String address, CompletionCall call, SendStage stage, boolean deadlinePassed, IOException e) {
     if (!stage.mayHaveReached()) {
-      return late ? new TooLate(false) : NotRun.of("no connection: " + e, true);
+      return deadlinePassed ? new TooLate(false) : NotRun.of("connection failed: " + e, true);
     }
-    if (late) {
+    if (deadlinePassed) {
       return new TooLate(cancel(address, call.attempt()) != Cancelled.NEVER_RAN);
     }
     return new Broken(e.toString());
@@ -173,17 +176,17 @@
     if (response.header(LEAVING_HEADER) != null) {
       return new NotRun("is leaving", NotRun.Reason.LEAVING, "");
     }
-    boolean saysNotRun = response.header(NOT_RUN_HEADER) != null;
-    if (saysNotRun && response.header(LOADING_HEADER) != null) {
+    boolean isNotRun = response.header(NOT_RUN_HEADER) != null;
+    if (isNotRun && response.header(LOADING_HEADER) != null) {
       return new NotRun("is loading weights", NotRun.Reason.LOADING, "");
     }
-    if (status == TOO_MANY || (status == UNAVAILABLE && saysNotRun)) {
-      return NotRun.of("refused with " + status, false);
+    if (status == TOO_MANY || (status == UNAVAILABLE && isNotRun)) {
+      return NotRun.of("refused with status " + status, false);
     }
-    if (saysNotRun) {
-      return NotRun.of("refused with " + status, true);
+    if (isNotRun) {
+      return NotRun.of("refused with status " + status, true);
     }
-    return new CompletionOutcome.Failed("answered " + status);
+    return new CompletionOutcome.Failed("answered with status " + status);
   }
 
   @Override
@@ -206,30 +209,30 @@
   }
 
   @Override
-  public long importKept(String address, KeptImport order) {
+  public long importKept(String address, KeptImport kvImport) {
     ObjectNode body = Json.LENIENT.createObjectNode();
-    body.put("store", order.store());
-    body.put("manifest", order.manifest());
-    body.put("pin_ms", order.pinMs());
-    order.keys().forEach(body.putArray("keys")::add);
+    body.put("store", kvImport.store());
+    body.put("manifest", kvImport.manifest());
+    body.put("pin_ms", kvImport.pinMs());
+    kvImport.keys().forEach(body.putArray("keys")::add);
     Request request =
         new Request.Builder()
             .url("http://" + address + "/v1/kv/import")
             .post(RequestBody.create(body.toString(), JSON_TYPE))
             .build();
-    OkHttpClient own =
+    OkHttpClient callClient =
         client
             .newBuilder()
-            .readTimeout(order.timeoutMs(), TimeUnit.MILLISECONDS)
-            .callTimeout(order.timeoutMs(), TimeUnit.MILLISECONDS)
+            .readTimeout(kvImport.timeoutMs(), TimeUnit.MILLISECONDS)
+            .callTimeout(kvImport.timeoutMs(), TimeUnit.MILLISECONDS)
             .build();
-    try (Response response = own.newCall(request).execute()) {
+    try (Response response = callClient.newCall(request).execute()) {
       if (!response.isSuccessful()) {
         return 0;
       }
       return Json.LENIENT.readTree(response.body().string()).path("bytes").asLong();
     } catch (IOException e) {
-      // The engine computes what it did not get; only time is lost.
+      // The engine computes the blocks that it did not import, so a failure costs only time.
       return 0;
     }
   }
@@ -237,7 +240,7 @@
   @Override
   public PlainOutcome plain(String address, PlainCall call) {
     SendStage stage = new SendStage();
-    OkHttpClient own =
+    OkHttpClient callClient =
         client
             .newBuilder()
             .eventListener(stage)
@@ -250,26 +253,26 @@
             .header("Landingtrack-Request-Id", call.requestId())
             .method(call.method(), bodyOf(call))
             .build();
-    try (Response response = own.newCall(request).execute()) {
+    try (Response response = callClient.newCall(request).execute()) {
       if (response.header(NOT_RUN_HEADER) != null) {
-        return new PlainOutcome.NotRun("refused with " + response.code(), false);
+        return new PlainOutcome.NotRun("refused with status " + response.code(), false);
       }
-      byte[] answer = response.body().byteStream().readNBytes(call.maxAnswerBytes() + 1);
-      if (answer.length > call.maxAnswerBytes()) {
-        return new PlainOutcome.Unknown("the answer is too long");
+      byte[] content = response.body().byteStream().readNBytes(call.maxAnswerBytes() + 1);
+      if (content.length > call.maxAnswerBytes()) {
+        return new PlainOutcome.Unknown("the answer is longer than the limit for plain services");
       }
       String type = response.header("Content-Type", "application/octet-stream");
-      return new PlainOutcome.Whole(response.code(), type == null ? "" : type, answer);
+      return new PlainOutcome.Whole(response.code(), type == null ? "" : type, content);
     } catch (IOException e) {
       return stage.mayHaveReached()
           ? new PlainOutcome.Unknown(e.toString())
-          : new PlainOutcome.NotRun("no connection: " + e, true);
+          : new PlainOutcome.NotRun("connection failed: " + e, true);
     }
   }
 
   private static @Nullable RequestBody bodyOf(PlainCall call) {
-    boolean takesBody = !call.method().equals("GET") && !call.method().equals("HEAD");
-    if (!takesBody) {
+    boolean hasBody = !call.method().equals("GET") && !call.method().equals("HEAD");
+    if (!hasBody) {
       return null;
     }
     String type = call.contentType().isEmpty() ? "application/octet-stream" : call.contentType();
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/KeptImport.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/KeptImport.java
@@ -18,13 +18,14 @@
 import java.util.List;
 
 /**
- * Kept state that an engine is to import.
+ * Stored KV cache blocks that an engine is to import from a store VM.
  *
  * @param store address of the store VM
- * @param manifest name of the manifest at the store VM
- * @param keys keys of the wanted blocks, from the prompt's first on
- * @param pinMs how long the engine keeps them for their request, however full it is
- * @param timeoutMs how long the import may take
+ * @param manifest name of the list of blocks at the store VM
+ * @param keys keys of the blocks to import, in the order of the prompt and from its first block
+ * @param pinMs how long the engine must not evict the blocks, so that they are there for their
+ *     request however full the cache is
+ * @param timeoutMs limit on the time of the import
  */
 public record KeptImport(
     String store, String manifest, List<String> keys, long pinMs, long timeoutMs) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/PlainCall.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/PlainCall.java
@@ -16,10 +16,12 @@
 package org.landingtrack.internal.engine;
 
 /**
- * One attempt to call a plain service.
+ * One attempt to call a plain HTTP service.
  *
  * @param target path and query, starting with a slash
- * @param contentType of the body; empty if there is none
+ * @param contentType media type of the body; empty if there is none
+ * @param timeoutMs limit on the time of the whole call
+ * @param maxAnswerBytes limit on the body of the answer; a longer one makes the outcome unknown
  */
 public record PlainCall(
     String requestId,
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/PlainOutcome.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/PlainOutcome.java
@@ -15,14 +15,18 @@
  */
 package org.landingtrack.internal.engine;
 
-/** How a call of a plain service ended. */
+/** How an attempt to call a plain HTTP service ended. */
 public sealed interface PlainOutcome {
-  /** The whole answer. */
+  /** The answer is complete; its status may be an error of the service. */
   record Whole(int status, String contentType, byte[] body) implements PlainOutcome {}
 
-  /** Nothing ran, for certain. */
+  /**
+   * It is certain that the server ran nothing, so a retry is safe.
+   *
+   * @param fault true if the server could not be reached, which counts against its health
+   */
   record NotRun(String why, boolean fault) implements PlainOutcome {}
 
-  /** It is not known whether the call ran. */
+  /** In doubt: it is not known whether the call ran, or its answer cannot be passed on. */
   record Unknown(String why) implements PlainOutcome {}
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/SendStage.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/SendStage.java
@@ -18,7 +18,10 @@
 import okhttp3.Call;
 import okhttp3.EventListener;
 
-/** Notes whether any byte of a request may have left; set by the HTTP client's own events. */
+/**
+ * Records whether any byte of a request may have been sent, from the events of the HTTP client. A
+ * request of which no byte was sent is certain not to have run. Thread-safe.
+ */
 final class SendStage extends EventListener {
   private volatile boolean started;
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/StreamReader.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/StreamReader.java
@@ -27,8 +27,9 @@
 import org.landingtrack.internal.routing.LoadReport;
 
 /**
- * Reads the server-sent events of one attempt. Only chunks that carry the attempt's id count; they
- * must follow each other without a gap; the answer is whole only with its end mark.
+ * Reads the server-sent events of one attempt. Every chunk must carry the attempt's id, so that the
+ * stream of another attempt is never taken for this one. Tokens must be contiguous; repeated ones
+ * are dropped. The answer is complete only with its end mark. Used by one thread.
  */
 final class StreamReader {
   private static final String DATA = "data:";
@@ -41,16 +42,16 @@
   private int next;
   private @Nullable Usage usage;
 
-  StreamReader(String attempt, int from, TokenSink sink, Ticker ticker) {
-    this.attempt = attempt;
+  StreamReader(String attemptId, int from, TokenSink sink, Ticker ticker) {
+    this.attempt = attemptId;
     this.next = from;
     this.sink = sink;
     this.ticker = ticker;
   }
 
-  /** Reads to the end; {@code onFirst} runs when the first token is there. */
-  CompletionOutcome read(BufferedSource source, Runnable onFirst) throws IOException {
-    boolean first = true;
+  /** Reads to the end of the stream; {@code onFirstToken} runs after the first token. */
+  CompletionOutcome read(BufferedSource source, Runnable onFirstToken) throws IOException {
+    boolean awaitsFirst = true;
     while (!source.exhausted()) {
       String line = source.readUtf8LineStrict(MAX_LINE_BYTES);
       if (!line.startsWith(DATA)) {
@@ -60,13 +61,13 @@
       if (data.equals(END)) {
         return usage == null ? new Broken("end mark without usage") : new Whole(usage);
       }
-      CompletionOutcome fault = take(Json.LENIENT.readTree(data));
-      if (fault != null) {
-        return fault;
+      CompletionOutcome failure = take(Json.LENIENT.readTree(data));
+      if (failure != null) {
+        return failure;
       }
-      if (first && next > 0) {
-        first = false;
-        onFirst.run();
+      if (awaitsFirst && next > 0) {
+        awaitsFirst = false;
+        onFirstToken.run();
       }
     }
     return new Broken("the stream ended without its end mark");
@@ -86,12 +87,12 @@
               load.path("queued_tokens").asLong(), load.path("running").asInt(), ticker.millis()));
     }
     if (chunk.has("usage")) {
-      JsonNode used = chunk.path("usage");
+      JsonNode counts = chunk.path("usage");
       usage =
           new Usage(
-              used.path("prompt_tokens").asInt(),
-              used.path("cached_tokens").asInt(),
-              used.path("completion_tokens").asInt());
+              counts.path("prompt_tokens").asInt(),
+              counts.path("cached_tokens").asInt(),
+              counts.path("completion_tokens").asInt());
     }
     String text = chunk.path("choices").path(0).path("delta").path("content").asText("");
     if (text.isEmpty()) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/TokenSink.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/TokenSink.java
@@ -17,15 +17,15 @@
 
 import org.landingtrack.internal.routing.LoadReport;
 
-/** Takes what a running attempt brings, in order. Called by one thread. */
+/** Receives the tokens and load reports of a running attempt, in order. Called by one thread. */
 public interface TokenSink {
   /**
-   * Takes the next token.
+   * Receives the next token.
    *
-   * @param offset its place in the answer, without a gap to the last one
+   * @param offset index of the token in the answer; offsets are contiguous
    */
   void token(int offset, String text);
 
-  /** Takes a load report that came with the answer. */
+  /** Receives a load report of the engine that came with the answer. */
   void load(LoadReport report);
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/Usage.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/Usage.java
@@ -16,10 +16,10 @@
 package org.landingtrack.internal.engine;
 
 /**
- * What a run used, as the engine counted it.
+ * The token counts of a completion, as reported by the engine.
  *
  * @param promptTokens tokens of the prompt
- * @param cachedTokens tokens of the prompt that were not computed again
+ * @param cachedTokens tokens of the prompt that were taken from the prefix cache
  * @param completionTokens tokens of the answer
  */
 public record Usage(int promptTokens, int cachedTokens, int completionTokens) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/package-info.java
@@ -1,3 +1,3 @@
-/** Calls to model engines and store VMs. */
+/** Clients of backend servers: model engines and plain HTTP services. */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.engine;
--- a/landingtrack/src/test/java/org/landingtrack/internal/engine/HttpBackendClientTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/engine/HttpBackendClientTest.java
@@ -32,7 +32,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What a call says about a run, for every point at which a real connection can fail. */
+/**
+ * Checks the outcome that {@link HttpBackendClient} reports for each point at which a connection
+ * can fail, over real sockets. A wrong outcome would run a request twice, or lose it without a
+ * retry.
+ */
 public final class HttpBackendClientTest {
   private static final String OK =
       "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n";
@@ -52,19 +56,19 @@
         + "\"}}]}\n\n";
   }
 
-  /** How a fake server treats a connection. */
+  /** What a fake server does with a connection. */
   private enum Server {
     /** No port is open. */
     ABSENT,
     /** Closes without reading. */
     CLOSES_AT_ONCE,
-    /** Resets after the request's head. */
+    /** Resets the connection after the request's headers. */
     RESETS_AFTER_HEAD,
-    /** Reads the request, says nothing, closes. */
+    /** Reads the request and closes without an answer. */
     CLOSES_AFTER_REQUEST,
     /** Reads the request and never answers. */
     SILENT,
-    /** Answers as the case says, then closes. */
+    /** Sends the answer of the test case, then closes. */
     ANSWERS
   }
 
@@ -73,10 +77,16 @@
     return new Object[][] {
       {"no port", Server.ABSENT, "", "NotRun", 0},
       {"closed at once", Server.CLOSES_AT_ONCE, "", "Broken", 0},
-      {"reset after the head", Server.RESETS_AFTER_HEAD, "", "Broken", 0},
+      {"reset after the headers", Server.RESETS_AFTER_HEAD, "", "Broken", 0},
       {"closed after the request", Server.CLOSES_AFTER_REQUEST, "", "Broken", 0},
       {"silent until the deadline", Server.SILENT, "", "TooLate", 0},
-      {"busy, says not run", Server.ANSWERS, status("503 Busy", "X-Not-Run: true"), "NotRun", 0},
+      {
+        "busy, with the header for not run",
+        Server.ANSWERS,
+        status("503 Busy", "X-Not-Run: true"),
+        "NotRun",
+        0
+      },
       {
         "loading weights",
         Server.ANSWERS,
@@ -85,18 +95,24 @@
         0
       },
       {"too many", Server.ANSWERS, status("429 Too Many", "X-A: b"), "NotRun", 0},
-      {"busy, says nothing", Server.ANSWERS, status("503 Busy", "X-A: b"), "Failed", 0},
+      {
+        "busy, without the header for not run",
+        Server.ANSWERS,
+        status("503 Busy", "X-A: b"),
+        "Failed",
+        0
+      },
       {"internal error", Server.ANSWERS, status("500 Oops", "X-A: b"), "Failed", 0},
       {"half a status line", Server.ANSWERS, "HTTP/1.", "Broken", 0},
-      {"head only", Server.ANSWERS, OK, "Broken", 0},
+      {"response headers only", Server.ANSWERS, OK, "Broken", 0},
       {"one token, then cut", Server.ANSWERS, OK + T0, "Broken", 1},
       {"cut within a chunk", Server.ANSWERS, OK + T0 + T1.substring(0, 30), "Broken", 1},
       {"no end mark", Server.ANSWERS, OK + T0 + T1 + USAGE, "Broken", 2},
       {"end mark without usage", Server.ANSWERS, OK + T0 + DONE, "Broken", 1},
       {"another attempt's chunk", Server.ANSWERS, OK + T0 + chunk("b-9", 1), "Broken", 1},
-      {"a token missing", Server.ANSWERS, OK + T0 + chunk("a-1", 2), "Broken", 1},
-      {"a token twice", Server.ANSWERS, OK + T0 + T0 + T1 + USAGE + DONE, "Whole", 2},
-      {"whole", Server.ANSWERS, OK + T0 + T1 + USAGE + DONE, "Whole", 2},
+      {"a missing token", Server.ANSWERS, OK + T0 + chunk("a-1", 2), "Broken", 1},
+      {"a repeated token", Server.ANSWERS, OK + T0 + T0 + T1 + USAGE + DONE, "Whole", 2},
+      {"complete answer", Server.ANSWERS, OK + T0 + T1 + USAGE + DONE, "Whole", 2},
     };
   }
 
@@ -132,7 +148,7 @@
       } else {
         thread.start();
       }
-      long deadline = server == Server.SILENT ? 300 : 60_000;
+      long deadlineMs = server == Server.SILENT ? 300 : 60_000;
       CompletionCall call =
           new CompletionCall(
               "a-1",
@@ -143,12 +159,12 @@
               List.of(),
               0,
               0,
-              Ticker.SYSTEM.millis() + deadline,
+              Ticker.SYSTEM.millis() + deadlineMs,
               20_000);
-      CompletionOutcome got =
+      CompletionOutcome actual =
           new HttpBackendClient(Ticker.SYSTEM).complete("127.0.0.1:" + port, call, sink);
       stop.set(true);
-      assertEquals(got.getClass().getSimpleName(), outcome, name + ": " + got);
+      assertEquals(actual.getClass().getSimpleName(), outcome, name + ": " + actual);
       assertEquals(received.size(), tokens, name);
     }
   }
