--- a/landingtrack/src/main/java/org/landingtrack/internal/base/Addresses.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/Addresses.java
@@ -17,15 +17,20 @@
 
 import java.net.InetSocketAddress;
 
-/** Addresses as settings and messages write them. */
+/** Parses network addresses of the form {@code host:port}, as in settings and messages. */
 public final class Addresses {
   private Addresses() {}
 
-  /** Splits {@code host:port}; throws {@link IllegalArgumentException} naming a bad value. */
+  /**
+   * Returns the socket address of {@code host:port}.
+   *
+   * @throws IllegalArgumentException if the text is not of that form; the message has the value
+   */
   public static InetSocketAddress parse(String address) {
     int colon = address.lastIndexOf(':');
     if (colon < 1) {
-      throw new IllegalArgumentException("not an address such as 127.0.0.1:7200: " + address);
+      throw new IllegalArgumentException(
+          "address must be host:port, for example 127.0.0.1:7200, but is: " + address);
     }
     return new InetSocketAddress(
         address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/Awake.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/Awake.java
@@ -16,11 +16,12 @@
 package org.landingtrack.internal.base;
 
 /**
- * Tells for how long this process has run without standing still. What it reads right after it
- * stood still may have waited in its sockets. Thread-safe.
+ * Detects stalls of this process, such as a suspended VM or a long pause of the JVM, and returns
+ * for how long the process has run since the last one. Data that is read right after a stall may
+ * have waited in the socket buffers, so its age is unknown. Thread-safe.
  */
 public final class Awake {
-  /** Between ticks on a busy VM; a longer pause is taken for standing still. */
+  /** Longest time between two ticks on a busy VM; a longer one is taken for a stall. */
   private static final long GAP_MS = 500;
 
   private final Ticker ticker;
@@ -33,18 +34,21 @@
     this.sinceMs = tickMs;
   }
 
-  /** Notes that the process runs; call it several times in half a second. */
+  /** Records that the process runs; must be called several times in half a second. */
   public synchronized void tick() {
-    long now = ticker.millis();
-    if (now - tickMs > GAP_MS) {
-      sinceMs = now;
+    long nowMs = ticker.millis();
+    if (nowMs - tickMs > GAP_MS) {
+      sinceMs = nowMs;
     }
-    tickMs = now;
+    tickMs = nowMs;
   }
 
-  /** Returns for how many milliseconds the process has run; 0 if it may just be waking. */
+  /**
+   * Returns for how many milliseconds the process has run without a stall; 0 if it may be coming
+   * out of one.
+   */
   public synchronized long forMs() {
-    long now = ticker.millis();
-    return now - tickMs > GAP_MS ? 0 : now - sinceMs;
+    long nowMs = ticker.millis();
+    return nowMs - tickMs > GAP_MS ? 0 : nowMs - sinceMs;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/CountingRing.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/CountingRing.java
@@ -20,27 +20,31 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A ring of log lines that never waits: a full one drops what comes, an almost full one keeps its
- * room for warnings and errors. Both are counted. Thread-safe.
+ * Queues log events for another thread and never blocks the caller. A full queue drops new events;
+ * an almost full one drops those below the level of warnings, so that room is left for warnings and
+ * errors. Dropped events are counted. Thread-safe.
  */
 final class CountingRing extends AsyncAppender {
   private final AtomicLong dropped = new AtomicLong();
 
-  CountingRing(int size) {
-    setQueueSize(size);
+  CountingRing(int queueSize) {
+    setQueueSize(queueSize);
     setNeverBlock(true);
   }
 
-  /** Returns the lines that were dropped so far; two threads at the last place count once. */
+  /**
+   * Returns how many events were dropped so far. Two threads that race for the last free place
+   * count as one drop.
+   */
   long dropped() {
     return dropped.get();
   }
 
   @Override
   protected void append(ILoggingEvent event) {
-    int room = getRemainingCapacity();
-    boolean isLow = room < getDiscardingThreshold();
-    if (room == 0 || (isLow && isDiscardable(event))) {
+    int remaining = getRemainingCapacity();
+    boolean isLow = remaining < getDiscardingThreshold();
+    if (remaining == 0 || (isLow && isDiscardable(event))) {
       dropped.incrementAndGet();
       return;
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/Duty.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/Duty.java
@@ -26,8 +26,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One thread for one duty, fed through a bounded ring. A full ring refuses new work at once, so
- * that a slow duty never takes memory without bound. Thread-safe.
+ * Runs tasks one after the other on a daemon thread, from a bounded queue. A full queue rejects new
+ * tasks at once, so that a slow worker never takes memory without bound. A task that throws is
+ * logged and the worker goes on. Thread-safe.
  */
 public final class Duty implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("duty");
@@ -36,7 +37,7 @@
   private final ThreadPoolExecutor executor;
   private final ScheduledExecutorService timer;
 
-  private Duty(String name, int ringSize) {
+  private Duty(String name, int queueCapacity) {
     this.name = name;
     this.executor =
         new ThreadPoolExecutor(
@@ -44,18 +45,18 @@
             1,
             0,
             TimeUnit.SECONDS,
-            new ArrayBlockingQueue<>(ringSize),
+            new ArrayBlockingQueue<>(queueCapacity),
             daemon(name),
             new ThreadPoolExecutor.AbortPolicy());
     this.timer = Executors.newSingleThreadScheduledExecutor(daemon(name + "-timer"));
   }
 
-  /** Starts a duty whose ring holds {@code ringSize} entries. */
-  public static Duty start(String name, int ringSize) {
-    return new Duty(name, ringSize);
+  /** Starts a worker whose queue holds {@code queueCapacity} tasks. */
+  public static Duty start(String name, int queueCapacity) {
+    return new Duty(name, queueCapacity);
   }
 
-  /** Returns a factory of daemon threads with a common name. */
+  /** Returns a factory of daemon threads that all have the same name. */
   public static ThreadFactory daemon(String name) {
     return task -> {
       Thread thread = new Thread(task, name);
@@ -64,7 +65,7 @@
     };
   }
 
-  /** Hands work to the duty; returns false if the ring is full or the duty is closed. */
+  /** Queues a task; returns false if the queue is full or the worker is closed. */
   public boolean offer(Runnable task) {
     try {
       executor.execute(() -> runGuarded(task));
@@ -74,7 +75,10 @@
     }
   }
 
-  /** Runs a task on the duty's thread again and again, with a pause in between. */
+  /**
+   * Queues a task periodically, from one period after now. A run is skipped while the queue is
+   * full.
+   */
   public Duty every(long periodMs, Runnable task) {
     var unused =
         timer.scheduleWithFixedDelay(() -> offer(task), periodMs, periodMs, TimeUnit.MILLISECONDS);
@@ -85,7 +89,7 @@
     try {
       task.run();
     } catch (RuntimeException e) {
-      log.warn("Duty {} failed once and goes on: {}.", name, e.toString());
+      log.warn("A task of worker {} failed and the worker goes on: {}.", name, e.toString());
     }
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/Hangup.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/Hangup.java
@@ -20,8 +20,8 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Runs a task on SIGHUP, which otherwise ends a JVM. The JDK's class for signals is outside of its
- * public API, so it is reached by reflection.
+ * Runs a task on SIGHUP, which ends a JVM by default. The JDK's class for signals is not part of
+ * its public API, so it is called by reflection.
  */
 public final class Hangup {
   private static final String SIGNAL = "sun.misc.Signal";
@@ -29,25 +29,25 @@
 
   private Hangup() {}
 
-  /** Runs the task, on a thread of its own, at each SIGHUP from now on. */
+  /** Runs the task at each SIGHUP from now on, on a thread of its own. Replaces an earlier task. */
   public static void handle(Runnable task) {
     try {
-      Class<?> signal = Class.forName(SIGNAL);
-      Class<?> handler = Class.forName(HANDLER);
+      Class<?> signalClass = Class.forName(SIGNAL);
+      Class<?> handlerClass = Class.forName(HANDLER);
       Object proxy =
           Proxy.newProxyInstance(
               Hangup.class.getClassLoader(),
-              new Class<?>[] {handler},
+              new Class<?>[] {handlerClass},
               (self, method, args) -> answer(self, method, args, task));
-      Object hup = signal.getConstructor(String.class).newInstance("HUP");
-      Method handle = signal.getMethod("handle", signal, handler);
-      var unused = handle.invoke(null, hup, proxy);
+      Object sighup = signalClass.getConstructor(String.class).newInstance("HUP");
+      Method handle = signalClass.getMethod("handle", signalClass, handlerClass);
+      var unused = handle.invoke(null, sighup, proxy);
     } catch (ClassNotFoundException
         | NoSuchMethodException
         | InstantiationException
         | IllegalAccessException
         | InvocationTargetException e) {
-      throw new IllegalStateException("this JVM has no signal handlers", e);
+      throw new IllegalStateException("this JVM does not support handlers of SIGHUP", e);
     }
   }
 
@@ -59,7 +59,7 @@
       }
       case "equals" -> self == args[0];
       case "hashCode" -> System.identityHashCode(self);
-      default -> "hangup handler";
+      default -> "SIGHUP handler";
     };
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/Hashes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/Hashes.java
@@ -26,16 +26,19 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** Hash functions by purpose. */
+/**
+ * Hash functions by purpose: fast 64-bit ones for placement only, and SHA-256 where a cryptographic
+ * hash is needed. Thread-safe.
+ */
 public final class Hashes {
-  /** A double has 53 bits of a fraction. */
+  /** Low bits of a 64-bit hash beyond the 53 bits of precision of a double. */
   private static final int UNUSED_BITS = 11;
 
   private static final double UNIT = 0x1.0p-53;
 
   private Hashes() {}
 
-  /** Returns a fast 64-bit hash, for placement only. */
+  /** Returns a fast 64-bit hash of a key and a node, for placement only. */
   public static long placement(String key, String node) {
     return Hashing.komihash5_0().hashStream().putString(key).putString(node).getAsLong();
   }
@@ -51,19 +54,19 @@
   }
 
   /**
-   * Returns the rendezvous weight of a node for a key, from the hashes of both; much cheaper than
-   * hashing the texts again for each pair.
+   * Returns the hash of two hashes: the rendezvous weight of a node for a key, from the hashes of
+   * both. Much cheaper than hashing the texts again for each pair.
    */
   public static long weight(long keyHash, long nodeHash) {
     return Hashing.komihash5_0().hashLongLongToLong(keyHash, nodeHash);
   }
 
-  /** Returns a number from 0 to less than 1 that is drawn by a hash. */
+  /** Maps a hash evenly to a number from 0 (inclusive) to 1 (exclusive). */
   public static double unit(long hash) {
     return (hash >>> UNUSED_BITS) * UNIT;
   }
 
-  /** Orders nodes by rendezvous weight for a key, heaviest first; ties by name. */
+  /** Sorts nodes by rendezvous weight for a key, highest first; ties by name. */
   public static <T> List<T> rendezvous(String key, Collection<T> nodes, Function<T, String> name) {
     record Weighed<T>(T node, String name, long weight) {}
     List<Weighed<T>> weighed = new ArrayList<>(nodes.size());
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/HttpServers.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/HttpServers.java
@@ -21,7 +21,7 @@
 import java.util.function.Consumer;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** Javalin servers with the settings and the health endpoints that every process has. */
+/** Starts Javalin servers with the settings, health checks and metrics that every process has. */
 public final class HttpServers {
   private static final int OK = 200;
   private static final int UNAVAILABLE = 503;
@@ -32,8 +32,9 @@
   /**
    * Starts a server with {@code /health}, {@code /ready} and {@code /metrics}.
    *
-   * @param idleTimeoutMs how long a connection may be silent while a request is read
-   * @param ready whether new work is wanted
+   * @param maxConcurrent limit on concurrent requests, to which a few threads are added
+   * @param idleTimeoutMs longest time without data while a request is read
+   * @param ready whether the process accepts new requests; {@code /ready} answers 503 otherwise
    * @param more adds further routes
    */
   public static Javalin start(
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/Json.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/Json.java
@@ -24,9 +24,9 @@
 import org.landingtrack.ErrorKind;
 import org.landingtrack.LandingtrackException;
 
-/** The JSON mappers that the whole program shares. Thread-safe. */
+/** Shared JSON mappers and helpers to read and write JSON. Thread-safe. */
 public final class Json {
-  /** Refuses unknown keys: for objects whose schema is ours. */
+  /** Rejects unknown keys: for objects whose schema landingtrack defines. */
   public static final ObjectMapper STRICT =
       JsonMapper.builder()
           .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
@@ -37,7 +37,7 @@
           .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS)
           .build();
 
-  /** Ignores unknown keys: for answers of outside systems. */
+  /** Ignores unknown keys: for answers of other systems. */
   public static final ObjectMapper LENIENT =
       JsonMapper.builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
 
@@ -52,13 +52,18 @@
     }
   }
 
-  /** Reads strictly; {@code what} names the text in the error. */
-  public static <T> T read(String what, String json, Class<T> type) {
+  /**
+   * Reads a value strictly.
+   *
+   * @param source names the text in the error message
+   * @throws LandingtrackException with {@code BAD_REQUEST} if the text does not fit the type
+   */
+  public static <T> T read(String source, String json, Class<T> type) {
     try {
       return STRICT.readValue(json, type);
     } catch (JsonProcessingException e) {
       throw new LandingtrackException(
-          ErrorKind.BAD_REQUEST, what + ": " + firstLine(e.getOriginalMessage()), e);
+          ErrorKind.BAD_REQUEST, source + ": " + firstLine(e.getOriginalMessage()), e);
     }
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/JsonLineEncoder.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/JsonLineEncoder.java
@@ -27,7 +27,7 @@
 import java.util.List;
 import org.slf4j.event.KeyValuePair;
 
-/** Writes each log event as one line of JSON, its key-value pairs as fields. */
+/** Encodes each log event as one line of JSON, with its key-value pairs as fields. */
 final class JsonLineEncoder extends EncoderBase<ILoggingEvent> {
   private static final JsonFactory FACTORY = new JsonFactory();
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/Logs.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/Logs.java
@@ -26,12 +26,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sets up logging once for a process. The logger's name is the fixed prefix of its part. */
+/**
+ * Configures logging for a process. A logger is named after its component; the name is the field
+ * {@code part} of a JSON line.
+ */
 public final class Logs {
-  /** Lines that may wait for the reader of standard output. */
+  /** Events that may wait until standard output is read. */
   private static final int RING_SIZE = 2_048;
 
-  /** The part that tells of starts, stops and reloads. */
+  /** Name of the logger for starts, stops and reloads of settings. */
   private static final String PROCESS = "process";
 
   private static final String PATTERN = "%d{HH:mm:ss.SSS} %-5level [%logger] %msg%n";
@@ -41,7 +44,7 @@
   private Logs() {}
 
   /**
-   * Writes to standard error.
+   * Logs to standard error, synchronously.
    *
    * @param format {@code text} or {@code json}
    * @param level a Logback level, for example {@code info}
@@ -55,17 +58,19 @@
     appender.setEncoder(encoder(format, context));
     appender.start();
     ch.qos.logback.classic.Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
-    Level own = Level.toLevel(level, Level.INFO);
-    root.setLevel(own);
+    Level threshold = Level.toLevel(level, Level.INFO);
+    root.setLevel(threshold);
     root.addAppender(appender);
-    for (String noisy : new String[] {"org.eclipse.jetty", "io.javalin", "io.grpc"}) {
-      context.getLogger(noisy).setLevel(own.isGreaterOrEqual(Level.WARN) ? own : Level.WARN);
+    for (String library : new String[] {"org.eclipse.jetty", "io.javalin", "io.grpc"}) {
+      context
+          .getLogger(library)
+          .setLevel(threshold.isGreaterOrEqual(Level.WARN) ? threshold : Level.WARN);
     }
   }
 
   /**
-   * Writes lines of JSON to standard output through a bounded ring; a full ring drops lines, so
-   * that nothing that is logged ever waits for a reader.
+   * Logs lines of JSON to standard output through a bounded queue. A full queue drops lines, so
+   * that a thread that logs never waits for the reader of standard output.
    *
    * @param level a Logback level, for example {@code info}
    */
@@ -79,35 +84,35 @@
     console.setContext(context);
     console.setEncoder(encoder);
     console.start();
-    CountingRing ring = new CountingRing(RING_SIZE);
-    ring.setContext(context);
-    ring.addAppender(console);
-    ring.start();
+    CountingRing appender = new CountingRing(RING_SIZE);
+    appender.setContext(context);
+    appender.addAppender(console);
+    appender.start();
     ch.qos.logback.classic.Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
-    root.addAppender(ring);
+    root.addAppender(appender);
     level(level);
-    lines = ring;
+    lines = appender;
     context.getLogger("io.netty").setLevel(Level.WARN);
   }
 
-  /** Returns how many lines the ring dropped so far; 0 where there is none. */
+  /** Returns how many lines were dropped so far; 0 without {@link #configureLines}. */
   public static long droppedLines() {
-    CountingRing ring = lines;
-    return ring == null ? 0 : ring.dropped();
+    CountingRing appender = lines;
+    return appender == null ? 0 : appender.dropped();
   }
 
-  /** Sets the level of all parts; starts, stops and reloads are told at every level. */
+  /** Sets the level of all loggers; starts, stops and reloads are logged at every level. */
   public static void level(String level) {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
     context.getLogger(Logger.ROOT_LOGGER_NAME).setLevel(Level.toLevel(level, Level.INFO));
     context.getLogger(PROCESS).setLevel(Level.INFO);
   }
 
-  /** Writes what still waits, for a moment at most. For the end of a process. */
+  /** Writes the queued lines, within a second at most. For the end of a process. */
   public static void flush() {
-    CountingRing ring = lines;
-    if (ring != null) {
-      ring.stop();
+    CountingRing appender = lines;
+    if (appender != null) {
+      appender.stop();
     }
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/MessagePack.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/MessagePack.java
@@ -21,9 +21,9 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
-/** The codec between landingtrack's own processes. Thread-safe. */
+/** MessagePack mapper for messages between landingtrack's own processes. Thread-safe. */
 public final class MessagePack {
-  /** Ignores unknown keys, so that processes of neighbouring releases understand each other. */
+  /** Ignores unknown keys, so that processes of consecutive releases can work together. */
   public static final ObjectMapper MAPPER =
       JsonMapper.builder(new MessagePackFactory())
           .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/Metrics.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/Metrics.java
@@ -28,13 +28,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.DoubleSupplier;
 
-/** The metrics of one process; each has its own registry. Thread-safe. */
+/** Registers and exports the metrics of one process, in a registry of its own. Thread-safe. */
 public final class Metrics {
   private final PrometheusRegistry registry = new PrometheusRegistry();
 
   public Metrics() {
-    gauge("landingtrack_heap_bytes", "Heap in use.", Metrics::heapBytes);
-    gauge("landingtrack_cpu_seconds", "Processor time of the process.", Metrics::cpuSeconds);
+    gauge("landingtrack_heap_bytes", "Heap in use, in bytes.", Metrics::heapBytes);
+    gauge(
+        "landingtrack_cpu_seconds",
+        "CPU time used by the process, in seconds.",
+        Metrics::cpuSeconds);
   }
 
   /** Registers a counter with labels. */
@@ -42,12 +45,12 @@
     return Counter.builder().name(name).help(help).labelNames(labels).register(registry);
   }
 
-  /** Registers a gauge that is set. */
+  /** Registers a gauge whose value is set by the caller. */
   public Gauge gauge(String name, String help, String... labels) {
     return Gauge.builder().name(name).help(help).labelNames(labels).register(registry);
   }
 
-  /** Registers a gauge that is read when asked for. */
+  /** Registers a gauge whose value is computed at each scrape. */
   public void gauge(String name, String help, DoubleSupplier value) {
     GaugeWithCallback.builder()
         .name(name)
@@ -56,7 +59,7 @@
         .register(registry);
   }
 
-  /** Registers a histogram in seconds. */
+  /** Registers a histogram of durations in seconds. */
   public Histogram histogram(String name, String help, String... labels) {
     return Histogram.builder()
         .name(name)
@@ -66,7 +69,7 @@
         .register(registry);
   }
 
-  /** Returns everything in the Prometheus text format. */
+  /** Returns all metrics in the Prometheus text format. */
   public String text() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     try {
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/SlidingCount.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/SlidingCount.java
@@ -18,8 +18,9 @@
 import java.util.Arrays;
 
 /**
- * Counts over a time that ends now, by slots: what is counted in one slot gets too old together.
- * Costs a number for each slot and a look at each for a sum. Not thread-safe.
+ * Counts over a sliding time window that is divided into slots; the amounts of one slot expire
+ * together. Needs one number for each slot, and reads each of them for a sum. A time before the
+ * newest one seen counts as the newest. Not thread-safe.
  */
 public final class SlidingCount {
   private final long slotMs;
@@ -27,28 +28,28 @@
   private long slot = Long.MIN_VALUE;
 
   /**
-   * Creates a count of nothing.
+   * Creates an empty counter.
    *
-   * @param spanMs the longest time that is asked for
-   * @param slotMs into which it is divided
+   * @param spanMs the longest window that will be asked for
+   * @param slotMs length of a slot, and so the error of a sum
    */
   public SlidingCount(long spanMs, long slotMs) {
     this.slotMs = slotMs;
     this.counts = new long[(int) (spanMs / slotMs) + 1];
   }
 
-  /** Counts an amount now. */
+  /** Adds an amount at the given time. */
   public void add(long amount, long nowMs) {
     moveTo(nowMs);
     counts[index(0)] += amount;
   }
 
-  /** Returns what was counted within a time, and up to a slot before it. */
+  /** Returns the sum over the last {@code ms}, and over up to one slot before them. */
   public long atLeast(long ms, long nowMs) {
     return sum(ms / slotMs + 1, nowMs);
   }
 
-  /** Returns what was counted within a time, but for up to a slot at its begin. */
+  /** Returns the sum over the last {@code ms}, without up to one slot at their start. */
   public long atMost(long ms, long nowMs) {
     return sum(ms / slotMs, nowMs);
   }
@@ -56,8 +57,8 @@
   private long sum(long slots, long nowMs) {
     moveTo(nowMs);
     long sum = 0;
-    for (int ago = 0; ago < Math.min(counts.length, slots); ago++) {
-      sum += counts[index(ago)];
+    for (int slotsAgo = 0; slotsAgo < Math.min(counts.length, slots); slotsAgo++) {
+      sum += counts[index(slotsAgo)];
     }
     return sum;
   }
@@ -67,12 +68,12 @@
   }
 
   private void moveTo(long nowMs) {
-    long now = Math.floorDiv(nowMs, slotMs);
-    if (slot == Long.MIN_VALUE || now - slot >= counts.length) {
+    long currentSlot = Math.floorDiv(nowMs, slotMs);
+    if (slot == Long.MIN_VALUE || currentSlot - slot >= counts.length) {
       Arrays.fill(counts, 0);
-      slot = now;
+      slot = currentSlot;
     }
-    while (slot < now) {
+    while (slot < currentSlot) {
       slot++;
       counts[index(0)] = 0;
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/SuspensionAwareTicker.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/SuspensionAwareTicker.java
@@ -20,26 +20,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A monotonic clock that also counts the time for which the VM was suspended. The runtime's steady
- * clock stands still meanwhile: a lease, or what is believed of a server, would be too young by
- * that time, and a VM that was suspended for 7 s would go on using weights for 7 s longer than
- * allowed.
+ * A monotonic clock that includes the time for which the VM was suspended. The JVM's steady clock
+ * ({@code System.nanoTime}) stops during a suspension: the age of a lease, or of the known state of
+ * a server, would be too small by that time, and a VM that was suspended for 7 s would use weights
+ * for 7 s longer than allowed.
  *
- * <p>Java has no clock that does this. The time of day runs on through a suspension, so that it is
- * ahead of the steady clock afterwards. It is ahead as well after it was put forward; then all that
- * is known here is taken to be older than it is, and is read again. A suspension in whose time the
- * clock is put back as far is not seen. Thread-safe.
+ * <p>Java has no clock that does this. The time of day goes on during a suspension, so a suspension
+ * shows as an increase of the offset between the time of day and the steady clock. Setting the time
+ * of day forward shows as the same; all known state is then taken to be older than it is and is
+ * read again, which is safe. A suspension during which the time of day is set back by as much is
+ * not detected. Thread-safe.
  */
 final class SuspensionAwareTicker implements Ticker {
-  /** Both clocks are read one after the other, and the time of day is corrected in small steps. */
+  /**
+   * Smaller changes of the offset are ignored: the two clocks are read one after the other, and the
+   * time of day is corrected in small steps.
+   */
   static final long TOLERANCE_MS = 100;
 
   /**
-   * Corrections of the time of day, of half a millisecond a second at most, are followed so often.
+   * Interval at which the offset is updated, so that gradual corrections of the time of day (half a
+   * millisecond per second at most) do not add up to the tolerance.
    */
   private static final long FOLLOW_EVERY_MS = 1_000;
 
-  /** A thread that was interrupted between its readings of the clocks reads them again. */
+  /**
+   * Longest time between the readings of the two clocks; a thread that was preempted between them
+   * for longer reads them again.
+   */
   private static final long READING_MS = 1;
 
   private static final long NANOS_PER_MS = 1_000_000;
@@ -74,13 +82,13 @@
 
   private synchronized void compare() {
     long steadyMs;
-    long nowAheadMs;
+    long offsetMs;
     do {
       steadyMs = steadyMs();
-      nowAheadMs = timeOfDayMs.getAsLong() - steadyMs;
+      offsetMs = timeOfDayMs.getAsLong() - steadyMs;
     } while (steadyMs() - steadyMs > READING_MS);
-    long movedMs = nowAheadMs - aheadMs;
-    aheadMs = nowAheadMs;
+    long movedMs = offsetMs - aheadMs;
+    aheadMs = offsetMs;
     followedAtMs = steadyMs;
     if (movedMs > TOLERANCE_MS) {
       suspendedMs += movedMs;
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/Ticker.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/Ticker.java
@@ -16,15 +16,15 @@
 package org.landingtrack.internal.base;
 
 /**
- * A monotonic clock. It never goes back and has no relation to the time of day.
+ * A monotonic clock. It never goes backwards and is not related to the time of day.
  *
  * @since 0.1
  */
 @FunctionalInterface
 public interface Ticker {
-  /** The clock of this process; it counts the time for which the VM was suspended as well. */
+  /** The clock of this process; it includes the time for which the VM was suspended. */
   Ticker SYSTEM = new SuspensionAwareTicker(System::nanoTime, System::currentTimeMillis);
 
-  /** Returns milliseconds since some fixed point. */
+  /** Returns the milliseconds since an arbitrary fixed point. */
   long millis();
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/package-info.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/package-info.java
@@ -1,3 +1,3 @@
-/** Small building blocks: clocks, threads, JSON, logs and metrics. */
+/** Shared utilities: clocks, worker threads, hashing, HTTP servers, JSON, logging and metrics. */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.internal.base;
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/CallerApi.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/CallerApi.java
@@ -52,7 +52,7 @@
 /**
  * Serves the callers' HTTP interface: {@code POST /v1/chat/completions} for models and {@code
  * /services/{service}/…} for plain HTTP services. Authenticates the team, checks that it may use
- * the service, enforces its rate limit and hands the request to a dispatcher. Thread-safe.
+ * the service, enforces the limits of the team and hands the request to a dispatcher. Thread-safe.
  */
 public final class CallerApi {
   private static final Logger log = LoggerFactory.getLogger("caller");
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/BackendClient.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/BackendClient.java
@@ -42,7 +42,7 @@
   /** Calls a plain HTTP service. */
   PlainOutcome plain(String address, PlainCall call);
 
-  /** Whether a cancelled attempt had run; {@code UNKNOWN} if the server did not answer. */
+  /** Whether a cancelled attempt had run; {@code UNKNOWN} without a valid answer of the server. */
   enum Cancelled {
     NEVER_RAN,
     RAN,
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/CompletionOutcome.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/CompletionOutcome.java
@@ -38,7 +38,9 @@
       LEAVING,
       /** It has loaded another version of the weights. */
       OTHER_VERSION,
-      /** It could not be reached, or refused for another reason; counts against its health. */
+      /**
+       * It looks broken: it could not be reached, or refused for a reason that is none of these.
+       */
       FAULT
     }
 
@@ -59,7 +61,10 @@
   /** In doubt: the answer is incomplete, or it is not known whether the request ran. */
   record Broken(String why) implements CompletionOutcome {}
 
-  /** The engine ran the request and reported an error. */
+  /**
+   * The run failed: the engine reported an error in the stream, or answered with an error status
+   * and did not say that nothing ran.
+   */
   record Failed(String why) implements CompletionOutcome {}
 
   /**
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/PlainOutcome.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/PlainOutcome.java
@@ -23,7 +23,7 @@
   /**
    * It is certain that the server ran nothing, so a retry is safe.
    *
-   * @param fault true if the server could not be reached, which counts against its health
+   * @param fault true if the server looks broken because it could not be reached
    */
   record NotRun(String why, boolean fault) implements PlainOutcome {}
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/Usage.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/Usage.java
@@ -19,7 +19,8 @@
  * The token counts of a completion, as reported by the engine.
  *
  * @param promptTokens tokens of the prompt
- * @param cachedTokens tokens of the prompt that were taken from the prefix cache
+ * @param cachedTokens tokens of the prompt that were reused from the prefix cache, not computed
+ *     again
  * @param completionTokens tokens of the answer
  */
 public record Usage(int promptTokens, int cachedTokens, int completionTokens) {}
--- a/landingtrack/src/test/java/org/landingtrack/internal/base/CapturedLines.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/base/CapturedLines.java
@@ -25,9 +25,12 @@
 import java.util.List;
 import org.slf4j.LoggerFactory;
 
-/** Takes standard output's place for the lines of a process, until it is closed. */
+/**
+ * Redirects standard output and logs JSON lines to it, until closed; then restores the tests' own
+ * logging.
+ */
 public final class CapturedLines implements AutoCloseable {
-  /** How Logback names the threads that write what waits in its rings. */
+  /** Prefix of the names of the threads with which Logback writes queued events. */
   private static final String WRITER = "AsyncAppender-Worker";
 
   private static final long LONGEST_MS = 20_000;
@@ -35,26 +38,27 @@
   private final PrintStream before = System.out;
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
-  /** Captures lines. */
+  /** Captures the lines in memory. */
   public CapturedLines() {
     this(null);
   }
 
-  /** Gives lines to a reader of the test's own, or captures them if there is none. */
-  public CapturedLines(OutputStream reader) {
-    System.setOut(new PrintStream(reader == null ? bytes : reader, true, StandardCharsets.UTF_8));
+  /** Writes the lines to the given stream, or captures them in memory if it is null. */
+  public CapturedLines(OutputStream target) {
+    System.setOut(new PrintStream(target == null ? bytes : target, true, StandardCharsets.UTF_8));
     Logs.configureLines("info");
   }
 
-  /** Ends the logging and returns the lines written. */
+  /** Stops the logging and returns the lines written. */
   public List<String> lines() {
     Logs.flush();
     return bytes.toString(StandardCharsets.UTF_8).lines().toList();
   }
 
   /**
-   * Waits for the thread that writes as well: the flush of a process waits a second for it, and
-   * what it writes later would be captured by whoever captures then.
+   * Restores standard output and the logging. Waits for the writer threads as well: the flush of a
+   * process waits only one second for them, and lines written later would be captured by the next
+   * test.
    */
   @Override
   public void close() {
@@ -66,7 +70,7 @@
     try {
       new ContextInitializer(context).autoConfig();
     } catch (JoranException e) {
-      throw new IllegalStateException("the tests' own logging cannot be set up again", e);
+      throw new IllegalStateException("cannot restore the logging configuration of the tests", e);
     }
   }
 
--- a/landingtrack/src/test/java/org/landingtrack/internal/base/FakeTicker.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/base/FakeTicker.java
@@ -15,7 +15,7 @@
  */
 package org.landingtrack.internal.base;
 
-/** A clock that a test sets. Thread-safe. */
+/** A clock that stands still until a test advances it. Thread-safe. */
 public final class FakeTicker implements Ticker {
   private volatile long nowMs = 1_000;
 
@@ -24,7 +24,7 @@
     return nowMs;
   }
 
-  /** Lets time pass. */
+  /** Advances the clock. */
   public synchronized FakeTicker pass(long ms) {
     nowMs += ms;
     return this;
--- a/landingtrack/src/test/java/org/landingtrack/internal/base/HangupTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/base/HangupTest.java
@@ -21,19 +21,19 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** A real SIGHUP of this process. */
+/** Checks the handler of SIGHUP by raising that signal in this process. */
 public final class HangupTest {
   private static final long LONGEST_S = 20;
 
   @Test
   public void theTaskRunsAtEachSignal() throws Exception {
     for (int i = 0; i < 2; i++) {
-      CountDownLatch heard = new CountDownLatch(1);
-      Hangup.handle(heard::countDown);
-      Class<?> signal = Class.forName("sun.misc.Signal");
-      Object hangup = signal.getConstructor(String.class).newInstance("HUP");
-      var unused = signal.getMethod("raise", signal).invoke(null, hangup);
-      assertTrue(heard.await(LONGEST_S, TimeUnit.SECONDS));
+      CountDownLatch handled = new CountDownLatch(1);
+      Hangup.handle(handled::countDown);
+      Class<?> signalClass = Class.forName("sun.misc.Signal");
+      Object sighup = signalClass.getConstructor(String.class).newInstance("HUP");
+      var unused = signalClass.getMethod("raise", signalClass).invoke(null, sighup);
+      assertTrue(handled.await(LONGEST_S, TimeUnit.SECONDS));
     }
   }
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/base/LogsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/base/LogsTest.java
@@ -30,12 +30,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Lines of a process on standard output. */
+/** Checks the JSON log lines of a process on standard output. */
 public final class LogsTest {
   private static final long LONGEST_S = 20;
   private static final int MANY_LINES = 10_000;
 
-  /** Together they take the reader longer than the flush waits. */
+  /** Together they take the slow reader longer than the flush waits. */
   private static final int SLOW_LINES = 300;
 
   private static final long PAUSE_MS = 10;
@@ -75,18 +75,21 @@
     }
   }
 
-  /** The reader stops; what logs goes on, warnings keep their room, and the drops are counted. */
+  /**
+   * A reader of standard output that stops must not block threads that log. Room stays for
+   * warnings, and dropped lines are counted.
+   */
   @Test
   public void aStoppedReaderHoldsUpNobody() throws Exception {
-    CountDownLatch goOn = new CountDownLatch(1);
-    OutputStream stopped =
+    CountDownLatch resume = new CountDownLatch(1);
+    OutputStream stalled =
         new OutputStream() {
           @Override
           public void write(int b) {
-            awaitQuietly(goOn);
+            awaitQuietly(resume);
           }
         };
-    try (CapturedLines unused = new CapturedLines(stopped)) {
+    try (CapturedLines unused = new CapturedLines(stalled)) {
       CountDownLatch logged = new CountDownLatch(1);
       Duty.daemon("logs")
           .newThread(
@@ -97,20 +100,22 @@
                 logged.countDown();
               })
           .start();
-      assertTrue(logged.await(LONGEST_S, TimeUnit.SECONDS), "the thread waits for the reader");
+      assertTrue(
+          logged.await(LONGEST_S, TimeUnit.SECONDS), "the logging thread is blocked by the reader");
       long dropped = Logs.droppedLines();
       assertTrue(dropped > 0 && dropped < MANY_LINES, "dropped: " + dropped);
       log.warn("kept");
       assertEquals(Logs.droppedLines(), dropped, "a warning was dropped");
       log.info("not kept");
       assertFalse(Logs.droppedLines() == dropped, "a line was dropped and not counted");
-      goOn.countDown();
+      resume.countDown();
     }
   }
 
   /**
-   * On a busy machine a test found 185 lines that a slow reader of the test before had left: the
-   * flush ends after a second, and the thread that writes goes on.
+   * Guards against lines of one test in the capture of the next. The flush ends after a second, but
+   * the writer thread goes on with a slow reader; on a busy machine a test captured 185 lines of
+   * the test before it.
    */
   @Test
   public void whatASlowReaderLeftIsNotCapturedByTheNext() throws Exception {
@@ -139,7 +144,7 @@
     try {
       TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
     } catch (InterruptedException e) {
-      // The flush wakes the writer; what is left is written all the same, and slowly.
+      // The flush interrupts the writer thread; keep writing the remaining lines slowly.
       long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PAUSE_MS);
       while (System.nanoTime() < endNs) {
         Thread.onSpinWait();
--- a/landingtrack/src/test/java/org/landingtrack/internal/base/SlidingCountTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/base/SlidingCountTest.java
@@ -23,7 +23,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** Counts of the last time, against a list of all that was counted. */
+/** Checks {@link SlidingCount} against a list of all amounts with their times. */
 public final class SlidingCountTest {
   private static final long SPAN_MS = 3_000;
   private static final long SLOT_MS = 250;
@@ -33,7 +33,7 @@
   private record Counted(long amount, long atMs) {}
 
   private static long within(List<Counted> all, long ms, long nowMs) {
-    return all.stream().filter(each -> nowMs - each.atMs() < ms).mapToLong(Counted::amount).sum();
+    return all.stream().filter(entry -> nowMs - entry.atMs() < ms).mapToLong(Counted::amount).sum();
   }
 
   @Test
@@ -47,13 +47,15 @@
       long amount = random.nextInt(5);
       count.add(amount, nowMs);
       all.add(new Counted(amount, nowMs));
-      long last = nowMs;
-      all.removeIf(each -> last - each.atMs() > 2 * SPAN_MS);
+      long newestMs = nowMs;
+      all.removeIf(entry -> newestMs - entry.atMs() > 2 * SPAN_MS);
       long ms = SLOT_MS * (1 + random.nextInt((int) (SPAN_MS / SLOT_MS)));
-      long atLeast = count.atLeast(ms, nowMs);
-      long atMost = count.atMost(ms, nowMs);
-      assertTrue(atLeast >= within(all, ms, nowMs) && atLeast <= within(all, ms + SLOT_MS, nowMs));
-      assertTrue(atMost <= within(all, ms, nowMs) && atMost >= within(all, ms - SLOT_MS, nowMs));
+      long roundedUp = count.atLeast(ms, nowMs);
+      long roundedDown = count.atMost(ms, nowMs);
+      assertTrue(
+          roundedUp >= within(all, ms, nowMs) && roundedUp <= within(all, ms + SLOT_MS, nowMs));
+      assertTrue(
+          roundedDown <= within(all, ms, nowMs) && roundedDown >= within(all, ms - SLOT_MS, nowMs));
     }
   }
 
@@ -67,7 +69,7 @@
     assertEquals(count.atLeast(SPAN_MS, 1_000_000), 0);
   }
 
-  /** Time that seems to go back counts as now. */
+  /** A sum without the oldest slot drops amounts once they are older than the window. */
   @Test
   public void aCountForgetsWhatIsOlderThanItsSpan() {
     SlidingCount count = new SlidingCount(1_000, 100);
--- a/landingtrack/src/test/java/org/landingtrack/internal/base/SuspendedVmTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/base/SuspendedVmTest.java
@@ -29,9 +29,9 @@
 import org.testng.annotations.Test;
 
 /**
- * A VM is suspended for seconds. The steady clock stands still meanwhile, the time of day runs on:
- * measured by the steady clock alone, the VM still held its lease when it woke, and dated weights
- * that were named while it was suspended as if they were named at this moment.
+ * Suspends a VM for seconds: the steady clock stops, the time of day goes on. Guards against ages
+ * that leave out the suspension. With the steady clock alone the VM still held its lease when it
+ * resumed, and took weights that were published during the suspension for published at that moment.
  */
 public final class SuspendedVmTest {
   private static final long SUSPENDED_MS = 7_000;
@@ -57,50 +57,50 @@
 
   @Test
   public void theTimeOfASuspensionCounts() {
-    long before = ticker.millis();
+    long startMs = ticker.millis();
     pass(300);
     suspend(SUSPENDED_MS);
-    assertEquals(ticker.millis(), before + 300 + SUSPENDED_MS);
+    assertEquals(ticker.millis(), startMs + 300 + SUSPENDED_MS);
     pass(500);
     suspend(SUSPENDED_MS);
-    assertEquals(ticker.millis(), before + 800 + 2 * SUSPENDED_MS);
+    assertEquals(ticker.millis(), startMs + 800 + 2 * SUSPENDED_MS);
   }
 
-  /** A clock that is put back, and forward again, changes ages only to the safe side. */
+  /** Setting the time of day back and forward again can make ages only larger, which is safe. */
   @Test
   public void aClockThatIsPutBackTakesNothingAway() {
-    long before = ticker.millis();
+    long startMs = ticker.millis();
     timeOfDayMs -= 2_400;
-    assertEquals(ticker.millis(), before);
+    assertEquals(ticker.millis(), startMs);
     pass(1_000);
     timeOfDayMs += 2_400;
-    assertEquals(ticker.millis(), before + 1_000 + 2_400);
+    assertEquals(ticker.millis(), startMs + 1_000 + 2_400);
   }
 
-  /** Corrections of the time of day by half a millisecond a second are no suspension. */
+  /** Corrections of the time of day by half a millisecond per second are not a suspension. */
   @Test
   public void smallCorrectionsDoNotAddUp() {
-    long before = ticker.millis();
+    long startMs = ticker.millis();
     for (int second = 1; second <= 3_600; second++) {
       pass(1_000);
       timeOfDayMs += second % 2;
       ticker.millis();
     }
-    assertEquals(ticker.millis(), before + 3_600_000);
+    assertEquals(ticker.millis(), startMs + 3_600_000);
   }
 
   @Test
   public void theClockNeverGoesBack() {
     Random random = new Random(3);
-    long last = ticker.millis();
+    long lastMs = ticker.millis();
     for (int step = 0; step < 20_000; step++) {
       pass(random.nextInt(200));
       if (random.nextInt(50) == 0) {
         timeOfDayMs += random.nextInt(6_000) - 3_000;
       }
-      long now = ticker.millis();
-      assertTrue(now >= last, "step " + step);
-      last = now;
+      long nowMs = ticker.millis();
+      assertTrue(nowMs >= lastMs, "step " + step);
+      lastMs = nowMs;
     }
   }
 
@@ -113,7 +113,9 @@
     assertFalse(lease.token().isPresent());
   }
 
-  /** The naming lies in the socket when the VM wakes; it is as old as the suspension. */
+  /**
+   * A change that waits in the socket buffer when the VM resumes is dated before the suspension.
+   */
   @Test
   public void aNamingMeanwhileIsAsOldAsItIs() {
     FakeObjectApi store = new FakeObjectApi();
@@ -127,19 +129,19 @@
     assertEquals(ticker.millis() - madeAfterMs, 3_000 + SUSPENDED_MS);
   }
 
-  /** What a process that stood still reads may have waited for it; a suspended one stood still. */
+  /** A suspension is a stall: data read after it may have waited in the socket buffers. */
   @Test
   public void aSuspendedVmStoodStill() {
-    Awake awake = new Awake(ticker);
+    Awake stallDetector = new Awake(ticker);
     for (int i = 0; i < 30; i++) {
       pass(100);
-      awake.tick();
+      stallDetector.tick();
     }
-    assertEquals(awake.forMs(), 3_000);
+    assertEquals(stallDetector.forMs(), 3_000);
     suspend(SUSPENDED_MS);
-    assertEquals(awake.forMs(), 0);
-    awake.tick();
+    assertEquals(stallDetector.forMs(), 0);
+    stallDetector.tick();
     pass(100);
-    assertEquals(awake.forMs(), 100);
+    assertEquals(stallDetector.forMs(), 100);
   }
 }
--- a/landingtrack/src/test/java/org/landingtrack/internal/engine/HttpBackendClientTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/engine/HttpBackendClientTest.java
@@ -112,7 +112,7 @@
       {"another attempt's chunk", Server.ANSWERS, OK + T0 + chunk("b-9", 1), "Broken", 1},
       {"a missing token", Server.ANSWERS, OK + T0 + chunk("a-1", 2), "Broken", 1},
       {"a repeated token", Server.ANSWERS, OK + T0 + T0 + T1 + USAGE + DONE, "Whole", 2},
-      {"complete answer", Server.ANSWERS, OK + T0 + T1 + USAGE + DONE, "Whole", 2},
+      {"whole", Server.ANSWERS, OK + T0 + T1 + USAGE + DONE, "Whole", 2},
     };
   }
 
