--- a/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimCommitter.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimCommitter.java
@@ -40,7 +40,7 @@
  * into the next one.
  *
  * <p>Conditional updates provide the fencing. If two controllers both consider themselves the owner
- * of the shard, for example because one was paused, only one of them can succeed from the same
+ * of the shard, for example because one was suspended, only one of them can succeed from the same
  * version; the other reads the shard again and decides again. So no lease is needed. Thread-safe.
  */
 public final class ClaimCommitter implements AutoCloseable {
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ModelRun.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ModelRun.java
@@ -41,8 +41,9 @@
  * streams. Used by one thread.
  *
  * <p>Rules for a further attempt: it is always allowed after {@link CompletionOutcome.NotRun}.
- * After a broken stream that cannot be resumed, only a request that may be repeated is sent again.
- * Once tokens were delivered to the caller, every further attempt uses the same weight version.
+ * After a broken stream that cannot be resumed, only a request that may be repeated gets a further
+ * attempt. Once tokens were delivered to the caller, every further attempt uses the same weight
+ * version.
  */
 final class ModelRun implements TokenSink {
   /** Longest gap between two tokens; also the time limit for the first token after a resume. */
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/VersionChoice.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/VersionChoice.java
@@ -29,9 +29,9 @@
 /**
  * The weight version requested for an attempt and the candidate servers for it.
  *
- * <p>A gateway learns the loaded versions only from answers and refusals. During a weight swap it
- * therefore probes a server that had another version again after a while. Each request probes at
- * most one such server, so that the probe costs it one round trip.
+ * <p>A gateway learns the loaded versions only from answers and refusals. During a weight swap, a
+ * server that had another version is therefore probed after a while. Each request probes at most
+ * one such server, so that the probe costs it one round trip.
  *
  * @param version the weight version to request
  * @param servers servers that have the version or may have it
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/ServerOutcomes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/ServerOutcomes.java
@@ -34,7 +34,7 @@
 final class ServerOutcomes {
   /**
    * Longest regular time between two calls of {@link #look}, which come at least every 100 ms.
-   * After a longer gap this VM is taken to have been paused.
+   * After a longer gap this VM is assumed to have been suspended.
    */
   private static final long STILL_MS = 500;
 
@@ -67,7 +67,7 @@
     private boolean slow;
     private boolean failed;
 
-    /** True if this VM was paused during the attempt, so that the time taken means nothing. */
+    /** True if this VM was suspended during the attempt, so that the time taken means nothing. */
     private boolean excused;
 
     Send(Work work, long atMs) {
@@ -125,7 +125,7 @@
 
   /**
    * Counts attempts that have been waiting for too long; call it at least every 100 ms. Attempts
-   * that waited while this VM was paused are not counted by their time.
+   * that waited while this VM was suspended are not counted by their time.
    */
   void look(long nowMs) {
     boolean wasPaused = lookedAtMs != Long.MIN_VALUE && nowMs - lookedAtMs > STILL_MS;
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/UsualTimes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/UsualTimes.java
@@ -27,8 +27,8 @@
   private static final int MIN_SAMPLES = 8;
 
   /**
-   * Factor by which each sample moves the estimate up or down. After times grow fourfold it takes
-   * 28 samples to follow.
+   * Factor by which each sample moves the estimate up or down. If the times grow fourfold, the
+   * estimate reaches them after 28 samples.
    */
   private static final double STEP = 1.05;
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/Work.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/Work.java
@@ -16,7 +16,8 @@
 package org.landingtrack.internal.health;
 
 /**
- * Expected work of a request at the server that it is sent to, by which its time is rated.
+ * Expected work of a request at the server to which it is sent. Its answer time is rated in
+ * relation to this work.
  *
  * @param service hash of the service's name
  * @param server hash of the server's incarnation
--- a/landingtrack/src/main/java/org/landingtrack/internal/lease/Lease.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/lease/Lease.java
@@ -30,7 +30,7 @@
  * <p>Wall clocks are not compared. Another process may take over the lease only after it has seen
  * the record unchanged for the whole duration plus a margin for clock drift. The holder counts from
  * the time before it sent its last successful renewal and stops at {@link #HOLD_SHARE} of the
- * duration. A holder that was paused may still consider itself the holder for an instant; every
+ * duration. A holder that was suspended may still consider itself the holder for an instant; every
  * order therefore carries the fencing token.
  *
  * <p>A store that was rolled back to an older copy may have lost the current holder. A process that
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/LoadExchange.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/LoadExchange.java
@@ -52,14 +52,14 @@
   private static final int MAX_BYTES = 65_507;
 
   /**
-   * Servers in one message. They take 2.4 kB, ten times a second, which is what load reports may
-   * cost a VM.
+   * Largest number of servers in one message. They take 2.4 kB, ten times a second, which is the
+   * traffic that a VM may spend on load reports.
    */
   static final int MAX_LOADS = 90;
 
   /**
-   * Ranks a server with a rate limit above all others: if sends to it were not reported, other VMs
-   * would use the same share of the limit again and exceed it.
+   * Ranks a server with a rate limit above all others: if the requests sent to it were not
+   * reported, other VMs would use the same share of the limit again and exceed it.
    */
   private static final long LIMITED_WEIGHT = 1_000_000;
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/LoadNews.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/LoadNews.java
@@ -31,7 +31,7 @@
  * @param feeds the sender's progress in reading the Object API itself; only from hubs
  * @param suspects requests that were in flight at servers that crashed
  * @param limits rate limits that servers stated recently
- * @param rests servers that asked recently for a backoff
+ * @param rests recent backoffs that servers asked for
  * @param tallies counters that VMs share
  */
 public record LoadNews(
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/LoadNewsCodec.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/LoadNewsCodec.java
@@ -34,8 +34,8 @@
  * Encodes and decodes gossip messages as MessagePack arrays without field names. The fields are
  * written and read one by one instead of by reflection: a VM sends and receives ten messages a
  * second and a hub hundreds, and decoding by reflection took a VM 0.8 s of processor time a minute
- * against 0.3 s (mean of 95 VMs, on the receiving thread; the lower figure includes that less is
- * done for each message).
+ * against 0.3 s (mean of 95 VMs, on the receiving thread; the lower value also reflects that less
+ * is done for each message).
  */
 final class LoadNewsCodec {
   /** Largest number of entries in a list; the largest datagram has room for fewer. */
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/Applicant.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/Applicant.java
@@ -24,8 +24,8 @@
  * @param team the caller's team, or an empty text
  * @param rank the priority rank; 0 is the most urgent
  * @param size the cost at a server: tokens of KV cache memory, or the same value for each request
- * @param deadlineMs how long the caller says that it waits; 0 if it does not say
- * @param leftMs the time until this VM gives the request up
+ * @param deadlineMs how long the caller waits for the answer, as it states; 0 if it states nothing
+ * @param leftMs the remaining time until this VM aborts the request
  */
 public record Applicant(
     String id,
@@ -36,6 +36,6 @@
     long size,
     long deadlineMs,
     long leftMs) {
-  /** The least urgent rank that is told apart; higher ranks are treated like this one. */
+  /** The least urgent rank that is distinguished; higher ranks are treated like this one. */
   public static final int LAST_RANK = Demand.RANKS - 1;
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/Appointments.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/Appointments.java
@@ -17,13 +17,13 @@
 
 /**
  * Chooses the retry delay of refused callers, so that callers that were refused together do not
- * return together. Stateless.
+ * retry at the same time. Stateless.
  */
 final class Appointments {
   /** Callers are expected to heed a retry delay of up to this share of their remaining time. */
   private static final double HEEDED_SHARE = 0.33;
 
-  /** While the overload grows, the most urgent rank is told this share of the longest delay. */
+  /** While the overload grows, the most urgent rank gets this share of the longest delay. */
   private static final double URGENT_SHARE = 0.6;
 
   /**
@@ -32,7 +32,10 @@
    */
   private static final double SPREAD = 0.5;
 
-  /** Shorter waits are not counted on, since load reports are up to this old. */
+  /**
+   * Added to the estimated wait, so that shorter waits are not relied on: load reports are up to
+   * this old.
+   */
   private static final long LEAST_MS = 300;
 
   private Appointments() {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/Demand.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/Demand.java
@@ -23,7 +23,7 @@
  * servers. Immutable.
  */
 final class Demand {
-  /** Number of priority ranks that are told apart; less urgent ones count as the last. */
+  /** Number of priority ranks that are distinguished; less urgent ones count as the last. */
   static final int RANKS = 4;
 
   /**
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/ReturningCallers.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/ReturningCallers.java
@@ -22,7 +22,7 @@
  */
 final class ReturningCallers {
   /**
-   * Shortest retry delay that callers are told. A retry has at least this much less time than a
+   * Shortest retry delay that is stated to callers. A retry has at least this much less time than a
    * first attempt.
    */
   static final long LEAST_SPENT_MS = 200;
@@ -54,7 +54,8 @@
   /**
    * Records a stated deadline, and returns true if the request is probably a retry.
    *
-   * @param deadlineMs how long the caller says that it waits; 0 if it does not say
+   * @param deadlineMs how long the caller waits for the answer, as it states; 0 if it states
+   *     nothing
    * @param isOverloaded true while the service is overloaded
    * @param nowMs the current time
    */
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/ServiceAdmission.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/ServiceAdmission.java
@@ -39,8 +39,9 @@
   private static final long LEAST_ANSWER_MS = 100;
 
   /**
-   * Derives the spread of retry delays from the random draw that decided. The draws of refused
-   * requests are close to each other, and the factor makes them differ.
+   * Multiplier by which the random draw of the admission decision also gives the position within
+   * the spread of retry delays. The draws of refused requests may be close to each other; the
+   * multiplier moves them apart.
    */
   private static final int SPREADS = 1_009;
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/EarlyReturns.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/EarlyReturns.java
@@ -21,7 +21,7 @@
 
 /**
  * Recognizes refused requests that are retried before their retry time. Guards against callers that
- * retry at once and often: without it, planning the same request again and again would take the
+ * retry at once and often: without it, routing the same request again and again would take the
  * processor time of other requests. The same request of another caller gets the same decision,
  * until one of the two is served. Bounded; empty while no request is refused.
  */
@@ -38,7 +38,7 @@
   private static final double EARLY_SHARE = 0.8;
 
   /**
-   * Early retries that are planned as usual; a single one may be accidental, further ones are not.
+   * Early retries that are routed as usual; a single one may be accidental, further ones are not.
    */
   private static final int ALLOWED = 1;
 
@@ -88,9 +88,9 @@
 
   /**
    * Returns the remaining time to the retry time if the request has to be refused again without
-   * planning it; 0 if it is to be planned as usual.
+   * routing it; 0 if it is to be routed as usual.
    *
-   * @param busy true if this VM has no time to plan early retries
+   * @param busy true if this VM has no time to route early retries
    */
   public long earlyMs(long request, boolean busy, long nowMs) {
     Refused known = refused.get(request);
--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/LateHere.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/LateHere.java
@@ -23,13 +23,13 @@
  * there at once. All other requests are served.
  */
 public final class LateHere {
-  /** Passes of the event loop: one sends the request, one forwards its answer. */
+  /** Iterations of the event loop: one sends the request, one forwards its answer. */
   private static final int TURNS = 2;
 
   /**
-   * Passes that are assumed for requests of the highest priority: they are refused only if they are
-   * certainly late, so that they are refused last. They are refused too, since all of them would be
-   * late where they alone overload the VM.
+   * Iterations that are assumed for requests of the highest priority: they are refused only if they
+   * are certainly late, and so after all others. They are not exempt, since a VM that they alone
+   * overload would answer all of them late.
    */
   private static final int TURNS_OF_URGENT = 1;
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/VmLimits.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/VmLimits.java
@@ -38,7 +38,8 @@
   private static final int MEMORY_PARTS = 8;
 
   /**
-   * Callers wait about ten seconds at most, so bytes that the link needs longer for reach nobody.
+   * Callers wait about ten seconds at most. Bytes that the link cannot send within this time would
+   * arrive after their callers have left.
    */
   private static final double LINK_SECONDS = 10;
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/quarantine/Quarantine.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/quarantine/Quarantine.java
@@ -272,7 +272,9 @@
     List.copyOf(suspects.keySet()).forEach(this::find);
   }
 
-  /** Returns all quarantined requests and the suspects that were not reminded of for longest. */
+  /**
+   * Returns all quarantined requests, and those other suspects whose last reminder is the oldest.
+   */
   private List<Suspect> reminders() {
     List<Suspect> reminders = new ArrayList<>();
     int others = 0;
--- a/landingtrack/src/main/java/org/landingtrack/internal/quarantine/RequestDigest.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/quarantine/RequestDigest.java
@@ -25,7 +25,7 @@
  * target and body. A retry has another request id and may arrive at another VM. It is the first 128
  * bits of a SHA-256, so nobody can construct a request with the digest of another one.
  *
- * @param bodyBytes length of the body; it tells most requests apart without computing a digest
+ * @param bodyBytes length of the body; it distinguishes most requests without computing a digest
  */
 public record RequestDigest(long high, long low, int bodyBytes) {
   private static final int HEX = 16;
--- a/landingtrack/src/main/java/org/landingtrack/internal/retry/RetryShares.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/retry/RetryShares.java
@@ -24,14 +24,14 @@
  */
 final class RetryShares {
   /**
-   * Length of a slot. All VMs learn of a retry within 0.4 s, so that at most two slots pass without
-   * knowledge of it.
+   * Length of a slot. All VMs learn of a retry within 0.4 s, so that at most two slots end before
+   * they know of it.
    */
   static final long SLOT_MS = 600;
 
   /**
-   * Share of the remaining budget that all VMs together may use in one slot, so that two slots fit
-   * in.
+   * Share of the remaining budget that all VMs together may use in one slot, so that the retries of
+   * two slots fit into it.
    */
   private static final double SLOT_SHARE = 0.45;
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/retry/ServiceBudget.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/retry/ServiceBudget.java
@@ -97,7 +97,7 @@
 
   /**
    * Returns the requests in the window without those in a slot that is partly too old. Spent
-   * retries in such a slot do count, so that the budget errs on the low side.
+   * retries in such a slot do count, so that the budget is rather too small than too large.
    */
   private long requestsInWindow(long nowMs) {
     return requests.atMost(terms.windowMs(), nowMs);
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/CostModel.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/CostModel.java
@@ -54,7 +54,7 @@
    *
    * @param blocks all reused blocks, both cached by the server and restored
    * @param restoreFrom store VM to restore from; empty for no restore
-   * @param kept manifest to restore; empty for no restore
+   * @param kept manifest of the stored blocks to restore; empty for no restore
    * @param restoreBlocks blocks to restore in addition to those that the server has cached
    */
   record Reuse(int blocks, String restoreFrom, String kept, int restoreBlocks) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/RouteOption.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/RouteOption.java
@@ -24,7 +24,7 @@
  * @param server name of the backend server
  * @param reusedBlocks blocks that the server has cached or gets by the restore
  * @param restoreFrom store VM to restore from; empty for no restore
- * @param kept manifest to restore; empty for no restore
+ * @param kept manifest of the stored blocks to restore; empty for no restore
  * @param restoreBlocks blocks of the manifest to restore
  * @param networkMs assumed network time
  * @param queueMs estimated queue wait at the server
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/ServerState.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/ServerState.java
@@ -40,7 +40,7 @@
   /** Capacity share of a server that refused a request a moment ago. */
   private static final double REFUSED_SHARE = 0.1;
 
-  /** Time for which a server that said that it is leaving gets no new requests. */
+  /** Time for which a server that announced that it is leaving gets no new requests. */
   private static final long LEAVING_MS = 60_000;
 
   /** Duration of the slow start after an ejection. */
@@ -190,7 +190,7 @@
     ejections = 0;
   }
 
-  /** Records that the server said that it is leaving; it gets no new requests for a while. */
+  /** Records that the server announced that it is leaving; it gets no new requests for a while. */
   public synchronized void leaving(long nowMs) {
     ejectedUntilMs = Math.max(ejectedUntilMs, nowMs + LEAVING_MS);
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/RollPlan.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/RollPlan.java
@@ -25,8 +25,8 @@
  * <p>The number of concurrent loads is limited: to {@link #MAX_LOADS}, since more slow each other
  * down; to a quarter of the service's engines; and such that the remaining engines can serve the
  * requests in flight. A rollout that has stalled continues with one engine at a time even if
- * requests or unreachable engines use up these limits, so that neither high load nor a dead engine
- * keeps old weights in use forever.
+ * requests or unreachable engines use up these limits, so that neither high load nor an unreachable
+ * engine keeps old weights in use forever.
  */
 public final class RollPlan {
   /** Maximum number of concurrent loads; so many do not slow each other down. */
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/VersionRollout.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/VersionRollout.java
@@ -49,8 +49,8 @@
  * about the same time. The first order of a lease term therefore waits until all orders of the
  * previous holder must have ended, unless that was this process or there was none. The delay counts
  * from the end of the previous term as far as this process observed it. After an idle period it is
- * already over, so that a previous holder which is suspended does not delay the next rollout by the
- * 3.4 s.
+ * already over, so that a previous holder which is suspended does not delay the next rollout by
+ * this time, 3.4 s.
  *
  * <p>In a large fleet only a few candidate VMs compete for the lease; the others do so only after
  * the rollout has made no progress for a while. Each VM that competes calls the store twice a
@@ -73,8 +73,8 @@
   private static final int CALLERS = 8;
 
   /**
-   * Steps that a candidate which has not held the lease before waits before it competes for it, so
-   * that an earlier holder is first.
+   * Steps for which a candidate waits before it competes for the lease if it has not held it
+   * before, so that an earlier holder is first.
    */
   private static final int STEPS_FOR_LAST_HOLDER = 3;
 
--- a/landingtrack/src/test/java/org/landingtrack/internal/admission/FairQueueTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/admission/FairQueueTest.java
@@ -34,6 +34,9 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.Test;
 
+/**
+ * Tests the order in which queued requests of several teams are admitted, and which are refused.
+ */
 public final class FairQueueTest {
   private static final long FAR_MS = 1_000_000_000;
 
--- a/landingtrack/src/test/java/org/landingtrack/internal/admission/TeamLimiterTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/admission/TeamLimiterTest.java
@@ -27,6 +27,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/**
+ * Tests that teams' limits hold over all gateways, and that a team at its limit affects no other.
+ */
 public final class TeamLimiterTest {
   @DataProvider
   public Object[][] gateways() {
--- a/landingtrack/src/test/java/org/landingtrack/internal/claim/ClaimCommitterTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/claim/ClaimCommitterTest.java
@@ -33,6 +33,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Tests the batched commits of claims, also with lost answers and two committers of one shard. */
 public final class ClaimCommitterTest {
   private final AtomicLong wall = new AtomicLong(1_000_000);
 
@@ -66,7 +67,7 @@
     assertEquals(second, expected == Outcome.CLAIMED ? Outcome.TAKEN : Outcome.CLAIMED);
   }
 
-  /** Two controllers consider themselves the owner; one was paused and has old content. */
+  /** Two controllers consider themselves the owner; one was suspended and has old content. */
   @Test
   public void aPausedCommitterLosesToTheNewOne() {
     FakeObjectApi api = new FakeObjectApi();
@@ -97,10 +98,10 @@
 
   /**
    * Guards against a request that runs twice though it must not be repeated. The owner of its key
-   * cannot confirm the claim but pauses before its answer is sent. After four seconds the gateway
-   * asks the successor, which confirms the claim, and the request runs. If the owner then releases
-   * the claim with its next commit, the caller's second request gets the key and runs too. Only the
-   * gateway knows that a request never runs, so only it may release a claim.
+   * cannot confirm the claim, but is suspended before its answer is sent. After four seconds the
+   * gateway asks the successor, which confirms the claim, and the request runs. If the owner then
+   * releases the claim with its next commit, the caller's second request gets the key and runs too.
+   * Only the gateway knows that a request never runs, so only it may release a claim.
    */
   @Test
   public void aClaimThatTheSuccessorConfirmedIsNotGivenBackByTheOwner() throws Exception {
--- a/landingtrack/src/test/java/org/landingtrack/internal/health/ServerOutcomesTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/health/ServerOutcomesTest.java
@@ -95,8 +95,8 @@
   }
 
   /**
-   * While the VM was paused, the requests in flight may have been answered without its reading the
-   * answers. Their times say nothing about the servers.
+   * While the VM was suspended, the requests in flight may have been answered, and the VM has not
+   * read the answers yet. The times of these requests say nothing about the servers.
    */
   @Test
   public void nothingIsLateThatWaitedWhileTheVmStoodStill() {
--- a/landingtrack/src/test/java/org/landingtrack/internal/lease/LeaseTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/lease/LeaseTest.java
@@ -30,6 +30,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Tests the acquisition, renewal, expiry and epochs of a lease, also with a faulty store. */
 public final class LeaseTest {
   private static final long DURATION_MS = 1_000;
 
@@ -60,7 +61,10 @@
     assertEquals(b.token(), OptionalLong.of(2));
   }
 
-  /** A holder that was paused beyond its lease must neither use nor renew the old epoch. */
+  /**
+   * A holder that was suspended beyond the end of its lease must neither use nor renew the old
+   * epoch.
+   */
   @Test
   public void aFrozenHolderWakesWithoutItsLease() {
     FakeTicker clockA = new FakeTicker();
@@ -133,7 +137,7 @@
         store.failWrites(Fault.values()[random.nextInt(3)]);
       }
       ticker.pass(random.nextInt(150));
-      // Some processes make no step for a long time, as if paused.
+      // Some processes make no step for a long time, as if suspended.
       int index = random.nextInt(random.nextInt(4) + 1);
       if (random.nextInt(8) == 0) {
         leases.get(index).look();
--- a/landingtrack/src/test/java/org/landingtrack/internal/loads/LoadExchangeTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/loads/LoadExchangeTest.java
@@ -33,7 +33,7 @@
 import org.landingtrack.internal.quarantine.Quarantine;
 import org.testng.annotations.Test;
 
-/** Tests the exchange of load messages over real UDP sockets. */
+/** Tests the exchange of gossip messages over real UDP sockets. */
 public final class LoadExchangeTest {
   private static final long LONGEST_S = 20;
   private static final long PAUSE_MS = 5;
--- a/landingtrack/src/test/java/org/landingtrack/internal/loads/PeerLoadsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/loads/PeerLoadsTest.java
@@ -30,6 +30,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/** Tests the exchange of load reports in a small fleet and the sums of other VMs' loads. */
 public final class PeerLoadsTest {
   private static final long SERVER = 42;
 
--- a/landingtrack/src/test/java/org/landingtrack/internal/overload/FleetAdmissionTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/overload/FleetAdmissionTest.java
@@ -31,8 +31,8 @@
  *
  * <p>Guards against VMs that decide only by their own queue and rate. With 74 VMs that each saw few
  * requests, nearly all were served late (0.367 served, with 0.011 of the value owed), though a part
- * could have been served in time and the rest refused at once. All VMs now decide by the same sums.
- * The tests measure what callers get.
+ * could have been served in time and all others refused at once. All VMs now decide by the same
+ * sums. The tests measure what callers get.
  */
 public final class FleetAdmissionTest {
   private static final long SEED = 7;
@@ -165,7 +165,7 @@
   }
 
   /**
-   * A retry after the told delay succeeds more often than the first attempt did, and for at least
+   * A retry after the stated delay succeeds more often than the first attempt did, and for at least
    * half of the callers.
    */
   @Test(dataProvider = "fleets")
@@ -200,7 +200,7 @@
     assertEquals(fleet.part(call -> call.isRefused), 0.0);
   }
 
-  /** A VM that is cut off decides by its own measurements, which cover a part of the fleet. */
+  /** A partitioned VM decides by its own measurements, which cover a part of the fleet. */
   @Test
   public void aVmThatIsCutOffRefusesLikeTheOthers() {
     OverloadedFleet fleet = new OverloadedFleet(7, equalTeams(), SEED);
--- a/landingtrack/src/test/java/org/landingtrack/internal/overload/ReturningCallersTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/overload/ReturningCallersTest.java
@@ -21,6 +21,7 @@
 
 import org.testng.annotations.Test;
 
+/** Tests how retries are distinguished from first attempts, and which retry delays callers get. */
 public final class ReturningCallersTest {
   private static final long FULL_MS = 3_000;
 
@@ -39,7 +40,10 @@
     assertFalse(callers.isReturn(0, true, 10));
   }
 
-  /** Otherwise callers with short deadlines would always go before others. */
+  /**
+   * On such a route a short deadline must not count as a retry: callers with short deadlines would
+   * always go before others.
+   */
   @Test
   public void whereCallersDifferNobodyReturns() {
     ReturningCallers callers = new ReturningCallers();
--- a/landingtrack/src/test/java/org/landingtrack/internal/overload/TeamSharesTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/overload/TeamSharesTest.java
@@ -23,6 +23,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
+/** Tests how scarce capacity is divided between teams. */
 public final class TeamSharesTest {
   private static final double ROUNDING = 1e-6;
 
--- a/landingtrack/src/test/java/org/landingtrack/internal/protection/EarlyReturnsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/protection/EarlyReturnsTest.java
@@ -21,6 +21,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/** Tests which retries count as early. */
 public final class EarlyReturnsTest {
   private EarlyReturns returns;
 
--- a/landingtrack/src/test/java/org/landingtrack/internal/protection/HeldBytesTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/protection/HeldBytesTest.java
@@ -28,6 +28,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Tests the account of held bytes: its totals, its watermarks, and which holders are ended. */
 public final class HeldBytesTest {
   private static final long BOUND = 1_000_000;
   private static final int STEPS = 5_000;
--- a/landingtrack/src/test/java/org/landingtrack/internal/protection/ReadGateTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/protection/ReadGateTest.java
@@ -24,6 +24,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/** Tests when reading from a server is paused and resumed, and when its caller is disconnected. */
 public final class ReadGateTest {
   private static final long BOUND = 8 << 20;
   private static final long SHARE = 256 << 10;
--- a/landingtrack/src/test/java/org/landingtrack/internal/protection/VmLimitsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/protection/VmLimitsTest.java
@@ -19,6 +19,7 @@
 
 import org.testng.annotations.Test;
 
+/** Tests the limits that are derived from a VM's resources. */
 public final class VmLimitsTest {
   private static final long MB = 1 << 20;
 
--- a/landingtrack/src/test/java/org/landingtrack/internal/protection/VmPressureTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/protection/VmPressureTest.java
@@ -26,6 +26,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Tests the load states of a VM, and which requests are refused because they would be late. */
 public final class VmPressureTest {
   private VmPressure pressure;
 
--- a/landingtrack/src/test/java/org/landingtrack/internal/retry/FleetRetriesTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/retry/FleetRetriesTest.java
@@ -244,7 +244,7 @@
     fleet.expectBudgetKept("other VMs after some stopped reporting");
   }
 
-  /** The VMs that have retried are cut off, and then the others want to retry. */
+  /** The VMs that have retried are partitioned, and then the others want to retry. */
   @Test
   public void whatSilentVmsSpentIsNotSpentAgain() {
     Fleet fleet = new Fleet(40, 300, 13);
@@ -305,7 +305,8 @@
   }
 
   /**
-   * VMs that restart in turn tell each other what was spent, so that none waits for a whole window.
+   * VMs that restart in turn report to each other what was spent, so that none waits for a whole
+   * window.
    */
   @Test
   public void aVmThatStartsAmongOthersSendsAgainSoon() {
@@ -329,7 +330,7 @@
       fleet.vms.get(i).cut(15_000, 0);
     }
     fleet.loop.advance(30_000);
-    fleet.expectBudgetKept("half of the VMs cut off");
+    fleet.expectBudgetKept("half of the VMs partitioned");
   }
 
   @Test
--- a/landingtrack/src/test/java/org/landingtrack/internal/weights/CallsByHand.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/weights/CallsByHand.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An executor that runs tasks in the calling thread, either at once or when the test says so. Not
+ * An executor that runs tasks in the calling thread, either at once or when the test runs them. Not
  * thread-safe.
  */
 final class CallsByHand extends AbstractExecutorService {
--- a/landingtrack/src/test/java/org/landingtrack/internal/weights/RollPlanTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/weights/RollPlanTest.java
@@ -23,6 +23,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Tests which engines are selected to load new weights next, and how many at once. */
 public final class RollPlanTest {
   private static final RollPlan.Demand QUIET = new RollPlan.Demand(64, false);
 
@@ -76,7 +77,7 @@
   @DataProvider
   public Object[][] demands() {
     return new Object[][] {
-      // engines, requests on each (of at most 10), dead engines, stalled, expected loads
+      // engines, requests on each (of at most 10), unreachable engines, stalled, expected loads
       {12, 0, 0, false, 3},
       {12, 5, 0, false, 3},
       {12, 6, 0, false, 3},
@@ -92,7 +93,7 @@
 
   /**
    * The remaining engines must have capacity for the requests in flight, but a stalled rollout goes
-   * on despite high load or dead engines.
+   * on despite high load or unreachable engines.
    */
   @Test(dataProvider = "demands")
   public void loadsLeaveTheCapacityThatIsNeeded(
--- a/landingtrack/src/test/java/org/landingtrack/internal/weights/VersionRolloutTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/weights/VersionRolloutTest.java
@@ -32,6 +32,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/**
+ * Tests the load orders of a rollout with slow, unreachable and restarted engines, and with changes
+ * of the lease holder.
+ */
 public final class VersionRolloutTest {
   private static final long LEASE_MS = 1_500;
   private static final long SETTLE_MS = 3_400;
