--- a/landingtrack/src/main/java/org/landingtrack/internal/admission/FairQueue.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/admission/FairQueue.java
@@ -90,7 +90,7 @@
    * Waits for a slot, at most until the deadline. After success {@link #leave} must be called.
    *
    * @param team the name of the team
-   * @param weight the team's weight, doubled for each step of priority by the caller
+   * @param weight the team's weight; the caller of this method doubles it for each step of priority
    * @param deadlineMs the deadline, by the clock of this queue
    * @throws LandingtrackException if the request is refused
    */
--- a/landingtrack/src/main/java/org/landingtrack/internal/admission/ShareBook.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/admission/ShareBook.java
@@ -20,8 +20,8 @@
 import java.util.Map;
 
 /**
- * Divides teams' limits between gateways. The owner of a team keeps the team's state here. Does no
- * I/O.
+ * Divides teams' limits between gateways. The owner of a team, one of the controllers, keeps the
+ * team's state here. Does no I/O.
  *
  * <p>A gateway without a grant from the owner uses an equal share. Gateways report a team only
  * while they want more than half of an equal share. So the owner reserves half an equal share for
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ModelRun.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ModelRun.java
@@ -51,7 +51,9 @@
 
   private static final int MAX_ATTEMPTS = 6;
 
-  /** Refusals about loaded weights that are followed by a further attempt without a retry. */
+  /**
+   * Largest number of refusals about loaded weights after which a further attempt costs no retry.
+   */
   private static final int MAX_WEIGHT_REFUSALS = 64;
 
   private static final int EXPLAINED_OPTIONS = 4;
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/Evidence.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/Evidence.java
@@ -41,8 +41,8 @@
    * What VMs report about an ejected server.
    *
    * @param holders number of VMs that eject it now
-   * @param probes number of VMs that probed it lately
-   * @param proofs number of VMs whose probe it answered lately
+   * @param probes number of VMs that probed it recently
+   * @param proofs number of VMs whose probe it answered recently
    */
   record Word(long holders, long probes, long proofs) {
     static final Word NONE = new Word(0, 0, 0);
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/PeerLoads.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/PeerLoads.java
@@ -57,7 +57,10 @@
    */
   static final int FIRST_ROUNDS = 5;
 
-  /** Sightings of VMs in one message. */
+  /**
+   * Largest number of sightings in one message. A sighting reports when some VM last received a
+   * message from a VM.
+   */
   private static final int NAMED_VMS = 12;
 
   /** Interval between two rounds with sightings while there is no newcomer. */
--- a/landingtrack/src/test/java/org/landingtrack/internal/overload/FleetAdmissionTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/overload/FleetAdmissionTest.java
@@ -30,9 +30,9 @@
  * Checks the admission of a simulated fleet that is overloaded.
  *
  * <p>Guards against VMs that decide only by their own queue and rate. With 74 VMs that each saw few
- * requests, nearly all were served late (0.367 served, with 0.011 of the value owed), though a part
- * could have been served in time and all others refused at once. All VMs now decide by the same
- * sums. The tests measure what callers get.
+ * requests, nearly all were served late (a share of 0.367 was served, worth 0.011 of the value
+ * due), though a part could have been served in time and all others refused at once. All VMs now
+ * decide by the same sums. The tests measure what callers get.
  */
 public final class FleetAdmissionTest {
   private static final long SEED = 7;
--- a/landingtrack/src/test/java/org/landingtrack/internal/retry/FleetRetriesTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/retry/FleetRetriesTest.java
@@ -305,8 +305,8 @@
   }
 
   /**
-   * VMs that restart in turn report to each other what was spent, so that none waits for a whole
-   * window.
+   * VMs that restart one after the other report to each other what was spent, so that none waits
+   * for a whole window.
    */
   @Test
   public void aVmThatStartsAmongOthersSendsAgainSoon() {
