--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ModelRun.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ModelRun.java
@@ -41,8 +41,9 @@
  * streams. Used by one thread.
  *
  * <p>Rules for a further attempt: it is always allowed after {@link CompletionOutcome.NotRun}.
- * After a broken stream that cannot be resumed, only a request that may be repeated is sent again.
- * Once tokens were delivered to the caller, every further attempt uses the same weight version.
+ * After a broken stream that cannot be resumed, only a request that may be repeated gets a further
+ * attempt. Once tokens were delivered to the caller, every further attempt uses the same weight
+ * version.
  */
 final class ModelRun implements TokenSink {
   /** Longest gap between two tokens; also the time limit for the first token after a resume. */
@@ -50,7 +51,9 @@
 
   private static final int MAX_ATTEMPTS = 6;
 
-  /** Refusals about loaded weights that are followed by a further attempt without a retry. */
+  /**
+   * Largest number of refusals about loaded weights after which a further attempt costs no retry.
+   */
   private static final int MAX_WEIGHT_REFUSALS = 64;
 
   private static final int EXPLAINED_OPTIONS = 4;
