--- a/bench/src/main/java/org/landingtrack/bench/Bench.java
+++ b/bench/src/main/java/org/landingtrack/bench/Bench.java
@@ -28,22 +28,24 @@
 import org.openjdk.jmh.runner.RunnerException;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
-/** Entry point of the load tool and the measurements. */
+/** Command line entry point of the load generator and the benchmarks. */
 public final class Bench {
   private static final String USAGE =
       """
       usage: landingtrack-bench COMMAND [OPTIONS]
       commands:
         send    send the prompts of a file: --file, --gateways URL,…, --service, --key
-        policy  measure routing: --profile kigali|sasaki, --seed N, --seconds S,
+        policy  measure routing policies: --profile kigali|sasaki, --seed N, --seconds S,
                 --policy all|landingtrack|round-robin|least-loaded|prefix-hash,
                 --fault none|engine-death|store-death|slow-link|load-lag|platform-out
-        overload  goodput at 1×, 2× and 4×: --profile, --seed, --seconds, --rate at 1×
-        capacity  slopes of state, messages and processor time for docs/CAPACITY.md
-        claims  latency and rate of claims against the platform's limits: --seconds
-        jmh     time and allocation of a routing decision
-        control  processor, heap and platform calls of a controller: --objects N, --seconds
-        faults  kill drill under load: --seed N, --seconds S, --disturbances N
+        overload  goodput at 1×, 2× and 4× of the base rate: --profile, --seed, --seconds,
+                  --rate R (base rate, requests a second)
+        capacity  memory, message sizes and CPU time per item for docs/CAPACITY.md
+        claims  latency and rate of request key claims under the platform's call limits:
+                --seconds
+        jmh     time and allocation per routing decision
+        control  CPU, heap and platform calls of a controller: --objects N, --seconds
+        faults  fault injection under load: --seed N, --seconds S, --disturbances N
       """;
   private static final int USAGE_EXIT = 2;
 
@@ -85,8 +87,8 @@
     int disturbances = Integer.parseInt(line.getOptionValue("disturbances", "30"));
     KillDrill.Counts counts = KillDrill.run(seed, disturbances, seconds);
     System.out.println(counts.json());
-    boolean kept = counts.lost() + counts.doubled() + counts.crossed() == 0;
-    return kept && counts.falseNotRun() == 0 ? 0 : 1;
+    boolean answersCorrect = counts.lost() + counts.doubled() + counts.crossed() == 0;
+    return answersCorrect && counts.falseNotRun() == 0 ? 0 : 1;
   }
 
   private static int jmh() throws IOException {
@@ -122,7 +124,7 @@
         }) {
       options.addOption(Option.builder().longOpt(name).hasArg().get());
     }
-    // Every measurement prints JSON; the option is taken so that scripts may say so.
+    // Every benchmark prints JSON; the option is accepted so that scripts can pass it.
     return options.addOption(Option.builder().longOpt("json").get());
   }
 }
--- a/bench/src/main/java/org/landingtrack/bench/CallerClient.java
+++ b/bench/src/main/java/org/landingtrack/bench/CallerClient.java
@@ -31,14 +31,14 @@
 import org.landingtrack.internal.base.Json;
 import org.landingtrack.standins.EngineServer;
 
-/** A caller of a gateway: sends a streamed request and reads its answer. Thread-safe. */
+/** Client of a gateway: sends streaming model requests and reads the answers. Thread-safe. */
 public final class CallerClient {
   private static final MediaType JSON_TYPE = MediaType.get("application/json");
   private static final String DATA = "data:";
 
   private final OkHttpClient client;
 
-  /** Creates a client that waits so long for the next byte. */
+  /** Creates a client with a read timeout, in milliseconds between two bytes of an answer. */
   public CallerClient(long readTimeoutMs) {
     this.client =
         new OkHttpClient.Builder()
@@ -49,11 +49,12 @@
   }
 
   /**
-   * A request.
+   * A model request.
    *
-   * @param system the long part that comes back
+   * @param system the long part of the prompt, which several requests share
    * @param question the short part; the stand-in engine repeats it in its first token
-   * @param requestKey empty for none
+   * @param noRepeat true if the request must run at most once
+   * @param requestKey the key that identifies the request in retries; empty for none
    */
   public record Ask(
       String service,
@@ -66,12 +67,15 @@
       String requestKey) {}
 
   /**
-   * An answer.
+   * The answer to a request.
    *
    * @param status HTTP status; 0 if the connection failed
-   * @param whole true if the end mark came
-   * @param ran what an error said about whether the request ran
-   * @param ttftMs time to the first token as the caller saw it
+   * @param whole true if the end marker of the stream was received
+   * @param kind kind of the error; {@code CONNECTION} if the connection failed, {@code CUT} if the
+   *     stream ended early without an error, empty for a complete answer
+   * @param ran whether the request ran, as the error states it
+   * @param ttftMs time to the first token in milliseconds, measured by the caller; -1 if there was
+   *     none
    */
   public record Answer(
       String requestId,
@@ -85,10 +89,10 @@
       int cachedTokens,
       String server) {}
 
-  /** Sends a request and reads its answer. */
-  public Answer ask(String gateway, Ask ask) {
-    long began = System.nanoTime();
-    try (Response response = client.newCall(request(gateway, ask)).execute()) {
+  /** Sends a request and reads its answer to the end; never throws if the connection fails. */
+  public Answer ask(String gateway, Ask prompt) {
+    long startNs = System.nanoTime();
+    try (Response response = client.newCall(request(gateway, prompt)).execute()) {
       String id = response.header("Landingtrack-Request-Id", "");
       if (!response.isSuccessful()) {
         JsonNode error = Json.LENIENT.readTree(response.body().string()).path("error");
@@ -98,17 +102,17 @@
             error.path("kind").asText(),
             error.path("ran").asText());
       }
-      return read(id == null ? "" : id, response.body().source(), began);
+      return read(id == null ? "" : id, response.body().source(), startNs);
     } catch (IOException e) {
       return failed("", 0, "CONNECTION", "unknown");
     }
   }
 
-  /** Returns the answer that the stand-in engine gives to a request under a weight version. */
-  static String expected(Ask ask, String weightVersion) {
-    String prompt = "<system>" + ask.system() + "\n<user>" + ask.question() + "\n";
+  /** Returns the text that the stand-in engine generates for a request with a weight version. */
+  static String expected(Ask request, String weightVersion) {
+    String prompt = "<system>" + request.system() + "\n<user>" + request.question() + "\n";
     StringBuilder text = new StringBuilder();
-    for (int i = 0; i < ask.maxTokens(); i++) {
+    for (int i = 0; i < request.maxTokens(); i++) {
       text.append(EngineServer.token(prompt, weightVersion, i));
     }
     return text.toString();
@@ -118,28 +122,28 @@
     return new Answer(id, status, false, kind, ran, "", -1, 0, 0, "");
   }
 
-  private static Request request(String gateway, Ask ask) {
+  private static Request request(String gateway, Ask prompt) {
     ObjectNode body = Json.LENIENT.createObjectNode();
-    body.put("model", ask.service()).put("max_tokens", ask.maxTokens()).put("stream", true);
+    body.put("model", prompt.service()).put("max_tokens", prompt.maxTokens()).put("stream", true);
     var messages = body.putArray("messages");
-    messages.addObject().put("role", "system").put("content", ask.system());
-    messages.addObject().put("role", "user").put("content", ask.question());
+    messages.addObject().put("role", "system").put("content", prompt.system());
+    messages.addObject().put("role", "user").put("content", prompt.question());
     Request.Builder request =
         new Request.Builder()
             .url(gateway + "/v1/chat/completions")
-            .header("Authorization", "Bearer " + ask.teamKey())
-            .header("Landingtrack-Deadline-Ms", Long.toString(ask.deadlineMs()))
+            .header("Authorization", "Bearer " + prompt.teamKey())
+            .header("Landingtrack-Deadline-Ms", Long.toString(prompt.deadlineMs()))
             .post(RequestBody.create(body.toString(), JSON_TYPE));
-    if (ask.noRepeat()) {
+    if (prompt.noRepeat()) {
       request.header("Landingtrack-No-Repeat", "true");
     }
-    if (!ask.requestKey().isEmpty()) {
-      request.header("Landingtrack-Request-Key", ask.requestKey());
+    if (!prompt.requestKey().isEmpty()) {
+      request.header("Landingtrack-Request-Key", prompt.requestKey());
     }
     return request.build();
   }
 
-  private static Answer read(String id, BufferedSource source, long began) throws IOException {
+  private static Answer read(String id, BufferedSource source, long startNs) throws IOException {
     StringBuilder text = new StringBuilder();
     double ttftMs = -1;
     JsonNode last = Json.LENIENT.createObjectNode();
@@ -163,7 +167,7 @@
       }
       String token = chunk.path("choices").path(0).path("delta").path("content").asText();
       if (!token.isEmpty()) {
-        ttftMs = ttftMs < 0 ? (System.nanoTime() - began) / 1e6 : ttftMs;
+        ttftMs = ttftMs < 0 ? (System.nanoTime() - startNs) / 1e6 : ttftMs;
         text.append(token);
       }
       last = chunk;
--- a/bench/src/main/java/org/landingtrack/bench/CapacityCommand.java
+++ b/bench/src/main/java/org/landingtrack/bench/CapacityCommand.java
@@ -42,8 +42,8 @@
 import org.landingtrack.internal.peer.Messages.HoldersQuery;
 
 /**
- * Measures the slopes that {@code docs/CAPACITY.md} is worked out from: state, message sizes and
- * processor time of each role's parts, at several sizes, inside one process.
+ * Measures what the estimates in {@code docs/CAPACITY.md} are computed from: memory, message sizes
+ * and CPU time of the components of each role, at several sizes, inside one process.
  */
 final class CapacityCommand {
   private static final int BLOCKS = 20;
@@ -70,8 +70,8 @@
     return runtime.totalMemory() - runtime.freeMemory();
   }
 
-  /** Heap of an object, and time and bytes of one change, by the number of objects. */
-  private static void configuration(ArrayNode out) throws JsonProcessingException {
+  /** Measures the heap per object, and the time and bytes of a change, by number of objects. */
+  private static void configuration(ArrayNode results) throws JsonProcessingException {
     for (int objects : new int[] {1_000, 4_000, 14_000, 28_000}) {
       long before = usedHeap();
       ConfigReplica replica = new ConfigReplica();
@@ -84,16 +84,17 @@
       long heap = usedHeap() - before;
       int changes = 200;
       long revision = objects;
-      long began = System.nanoTime();
+      long startNs = System.nanoTime();
       for (int i = 0; i < changes; i++) {
         revision++;
         ConfigEntry change = entry(i % objects, revision);
         replica.merge(revision - 1, new ConfigDelta(revision, List.of(change)));
       }
-      double usPerChange = (System.nanoTime() - began) / 1e3 / changes;
+      double usPerChange = (System.nanoTime() - startNs) / 1e3 / changes;
       byte[] delta =
           MessagePack.MAPPER.writeValueAsBytes(replica.deltaAfter(replica.revision() - 1));
-      out.addObject()
+      results
+          .addObject()
           .put("objects", objects)
           .put("heap_bytes_per_object", heap / objects)
           .put("us_per_change", usPerChange)
@@ -122,8 +123,11 @@
         StoredEntry.key(Kind.BACKEND_SERVER, name), 1, revision, Json.write(stored));
   }
 
-  /** Bytes and time of a member in a period, by the number of members, with 1 in 300 restarting. */
-  private static void membership(ArrayNode out) throws JsonProcessingException {
+  /**
+   * Measures bytes and time per member and second, by number of members. One member restarts in
+   * each period of one second: 1 in 300 at a size of 300.
+   */
+  private static void membership(ArrayNode results) throws JsonProcessingException {
     for (int size : new int[] {10, 60, 206, 620}) {
       Map<String, Membership> network = new HashMap<>();
       List<Member> all = new ArrayList<>();
@@ -131,27 +135,29 @@
         all.add(member(i, 1));
       }
       for (Member self : all) {
-        Membership one = new Membership(self, PERIOD_MS, new SplittableRandom(all.indexOf(self)));
-        one.seed(all, 0);
-        network.put(self.address(), one);
+        Membership membership =
+            new Membership(self, PERIOD_MS, new SplittableRandom(all.indexOf(self)));
+        membership.seed(all, 0);
+        network.put(self.address(), membership);
       }
       long bytes = 0;
-      long began = System.nanoTime();
+      long startNs = System.nanoTime();
       for (int period = 1; period <= PERIODS; period++) {
         int restarted = period % size;
         network.put("a" + restarted, restart(restarted, period + 1, all, period * PERIOD_MS));
         for (String address : List.copyOf(network.keySet())) {
-          Membership one = network.get(address);
-          if (one != null) {
-            bytes += deliver(network, one.tick(period * PERIOD_MS), period * PERIOD_MS);
+          Membership membership = network.get(address);
+          if (membership != null) {
+            bytes += deliver(network, membership.tick(period * PERIOD_MS), period * PERIOD_MS);
           }
         }
       }
-      double us = (System.nanoTime() - began) / 1e3;
-      out.addObject()
+      double elapsedUs = (System.nanoTime() - startNs) / 1e3;
+      results
+          .addObject()
           .put("members", size)
           .put("bytes_per_member_and_second", bytes / (double) size / PERIODS)
-          .put("us_per_member_and_second", us / size / PERIODS);
+          .put("us_per_member_and_second", elapsedUs / size / PERIODS);
     }
   }
 
@@ -161,14 +167,17 @@
   }
 
   private static Membership restart(int number, long incarnation, List<Member> all, long nowMs) {
-    Membership one =
+    Membership membership =
         new Membership(
             member(number, incarnation), PERIOD_MS, new SplittableRandom(number + incarnation));
-    one.seed(all, nowMs);
-    return one;
+    membership.seed(all, nowMs);
+    return membership;
   }
 
-  /** Delivers datagrams with their answers; returns the bytes, headers of IP and UDP included. */
+  /**
+   * Delivers datagrams and their replies. Returns the bytes, including 28 bytes of IP and UDP
+   * headers per datagram.
+   */
   private static long deliver(
       Map<String, Membership> network, List<Probe.Outgoing> outgoing, long nowMs)
       throws JsonProcessingException {
@@ -183,27 +192,28 @@
     return bytes;
   }
 
-  /** Heap of a group, time of a fact and of a lookup, bytes of their messages. */
-  private static void directory(ArrayNode out) throws JsonProcessingException {
+  /** Measures the heap per prefix group, and time and message bytes of a fact and a lookup. */
+  private static void directory(ArrayNode results) throws JsonProcessingException {
     for (int groups : new int[] {1_000, 6_000, 12_000}) {
       long before = usedHeap();
       PrefixDirectory directory = new PrefixDirectory(200_000);
-      long began = System.nanoTime();
+      long startNs = System.nanoTime();
       for (int g = 0; g < groups; g++) {
         directory.apply(facts(g));
       }
-      double usPerFact = (System.nanoTime() - began) / 1e3 / groups / BLOCKS;
+      double usPerFact = (System.nanoTime() - startNs) / 1e3 / groups / BLOCKS;
       long heap = usedHeap() - before;
       int lookups = 5_000;
-      began = System.nanoTime();
+      startNs = System.nanoTime();
       int found = 0;
       for (int i = 0; i < lookups; i++) {
         int g = i % groups;
         found += directory.holders(key(g, 0), chain(g), 8).size();
       }
-      double usPerLookup = (System.nanoTime() - began) / 1e3 / lookups;
+      double usPerLookup = (System.nanoTime() - startNs) / 1e3 / lookups;
       HoldersQuery query = new HoldersQuery("service", key(0, 0), chain(0));
-      out.addObject()
+      results
+          .addObject()
           .put("groups", groups)
           .put("blocks_per_group", BLOCKS)
           .put("found", found)
@@ -237,8 +247,8 @@
     return facts;
   }
 
-  /** Size and time of a shard's commit, by the claims that it holds. */
-  private static void claims(ArrayNode out) {
+  /** Measures the size and time of a shard's commit, by number of claims in the shard. */
+  private static void claims(ArrayNode results) {
     for (int held : new int[] {1_000, 4_000, 7_900}) {
       List<ClaimShard.Wish> wishes = new ArrayList<>();
       for (int i = 0; i < held; i++) {
@@ -248,16 +258,17 @@
       }
       ClaimShard shard = ClaimShard.empty().decide(wishes, 1_700_000_000_000L).next();
       int commits = 30;
-      long began = System.nanoTime();
+      long startNs = System.nanoTime();
       long bytes = 0;
       for (int i = 0; i < commits; i++) {
         ClaimShard.Wish wish = new ClaimShard.Wish("new" + i, "entry-1.1");
         bytes += Json.write(shard.decide(List.of(wish), 1_700_000_000_001L).next()).length();
       }
-      out.addObject()
+      results
+          .addObject()
           .put("claims_held", held)
           .put("bytes_per_claim", bytes / commits / held)
-          .put("ms_per_commit_without_the_platform", (System.nanoTime() - began) / 1e6 / commits);
+          .put("ms_per_commit_without_the_platform", (System.nanoTime() - startNs) / 1e6 / commits);
     }
   }
 }
--- a/bench/src/main/java/org/landingtrack/bench/ChildProcess.java
+++ b/bench/src/main/java/org/landingtrack/bench/ChildProcess.java
@@ -29,7 +29,8 @@
 import org.landingtrack.internal.base.Json;
 
 /**
- * A landingtrack process that a test or a measurement started; only such ones are ever signalled.
+ * A landingtrack process that a test or a benchmark started. Signals go only to processes started
+ * here.
  */
 public final class ChildProcess implements AutoCloseable {
   private static final long STOP_S = 30;
@@ -42,7 +43,10 @@
     this.ports = ports;
   }
 
-  /** Starts a program of landingtrack and waits until it has said its ports. */
+  /**
+   * Starts a landingtrack program and waits until it has printed its ports. Its standard error is
+   * appended to a log file.
+   */
   public static ChildProcess start(Path log, String... args) {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -55,20 +59,21 @@
           new ProcessBuilder(command)
               .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()))
               .start();
-      BufferedReader out =
+      BufferedReader standardOutput =
           new BufferedReader(
               new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-      String line = out.readLine();
-      if (line == null) {
-        throw new IllegalStateException("the process ended at once; see " + log);
+      String portsLine = standardOutput.readLine();
+      if (portsLine == null) {
+        throw new IllegalStateException(
+            "the process exited before it printed its ports; see " + log);
       }
-      return new ChildProcess(process, Json.LENIENT.readTree(line));
+      return new ChildProcess(process, Json.LENIENT.readTree(portsLine));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  /** Returns one of the ports that the process said. */
+  /** Returns a port that the process printed, by name; 0 if it printed none of that name. */
   public int port(String name) {
     return ports.path(name).asInt();
   }
@@ -78,24 +83,27 @@
     return process.pid();
   }
 
-  /** Ends it without warning, as a dying VM does. */
+  /** Kills the process without a shutdown, like the loss of its VM, and waits for its end. */
   public void kill() {
     process.destroyForcibly();
     await();
   }
 
-  /** Asks it to stop as planned and returns its exit code. */
+  /**
+   * Requests a graceful shutdown and returns the exit code. A process that is still running after
+   * 30 s is killed, and the result is -1.
+   */
   public int stop() {
     process.destroy();
     return await();
   }
 
-  /** Freezes it until {@link #resume}. */
+  /** Suspends the process until {@link #resume}. */
   public void freeze() {
     signal("-STOP");
   }
 
-  /** Lets a frozen process go on. */
+  /** Resumes a suspended process. */
   public void resume() {
     signal("-CONT");
   }
@@ -104,7 +112,7 @@
     try {
       int code = new ProcessBuilder("kill", name, Long.toString(process.pid())).start().waitFor();
       if (code != 0) {
-        throw new IllegalStateException("kill " + name + " ended with " + code);
+        throw new IllegalStateException("kill " + name + " exited with code " + code);
       }
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -126,7 +134,7 @@
     }
   }
 
-  /** Returns true while it runs. */
+  /** Returns true while the process runs. */
   public boolean isAlive() {
     return process.isAlive();
   }
--- a/bench/src/main/java/org/landingtrack/bench/ClaimsCommand.java
+++ b/bench/src/main/java/org/landingtrack/bench/ClaimsCommand.java
@@ -34,7 +34,10 @@
 import org.landingtrack.internal.platform.HttpObjectApi;
 import org.landingtrack.standins.ObjectApiServer;
 
-/** Measures claims through group commit against an Object API that takes 100 writes a second. */
+/**
+ * Measures rate and latency of request key claims with group commit, against an Object API that
+ * accepts 100 writes a second.
+ */
 final class ClaimsCommand {
   private static final int[] CALLERS = {1, 16, 64, 256};
   private static final double READS = 1_000;
@@ -60,26 +63,27 @@
       Histogram latency = new ConcurrentHistogram(3);
       AtomicLong claimed = new AtomicLong();
       AtomicLong unavailable = new AtomicLong();
-      AtomicLong number = new AtomicLong();
-      long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
-      ExecutorService threads = Executors.newFixedThreadPool(callers);
+      AtomicLong keyNumber = new AtomicLong();
+      long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
+      ExecutorService executor = Executors.newFixedThreadPool(callers);
       List<Runnable> tasks = new ArrayList<>();
       for (int i = 0; i < callers; i++) {
         tasks.add(
             () -> {
-              while (System.nanoTime() < end) {
-                String key = Hashes.sha256Hex("k" + number.incrementAndGet()).substring(0, 32);
-                long began = System.nanoTime();
+              while (System.nanoTime() < endNs) {
+                String key = Hashes.sha256Hex("k" + keyNumber.incrementAndGet()).substring(0, 32);
+                long startNs = System.nanoTime();
                 Verdict verdict = shards.claim(key, "vm." + key).join();
-                latency.recordValue(Math.max(1, (System.nanoTime() - began) / 1_000));
+                latency.recordValue(Math.max(1, (System.nanoTime() - startNs) / 1_000));
                 (verdict.outcome() == Outcome.CLAIMED ? claimed : unavailable).incrementAndGet();
               }
             });
       }
-      tasks.forEach(threads::execute);
-      threads.shutdown();
-      if (!threads.awaitTermination(seconds + 30L, TimeUnit.SECONDS)) {
-        throw new IllegalStateException("claims did not end");
+      tasks.forEach(executor::execute);
+      executor.shutdown();
+      if (!executor.awaitTermination(seconds + 30L, TimeUnit.SECONDS)) {
+        throw new IllegalStateException(
+            "claims are still running 30 s after the end of the measurement");
       }
       ObjectNode result = Json.LENIENT.createObjectNode();
       result.put("callers_at_once", callers).put("claims_per_second", claimed.get() / seconds);
--- a/bench/src/main/java/org/landingtrack/bench/ControlCommand.java
+++ b/bench/src/main/java/org/landingtrack/bench/ControlCommand.java
@@ -25,8 +25,8 @@
 import org.landingtrack.internal.base.Json;
 
 /**
- * Measures a real controller process at rest and under configuration changes, by the number of
- * configuration objects: processor share, heap, and platform calls.
+ * Measures CPU share, heap and platform calls of real controller processes, idle and under
+ * configuration changes, for a given number of configuration objects.
  */
 final class ControlCommand {
   private static final double CHANGES_PER_SECOND = 1;
@@ -51,7 +51,7 @@
     return 0;
   }
 
-  /** Models that nothing depends on stand for any object. */
+  /** Writes models that nothing depends on; they stand in for objects of any kind. */
   private static void fill(Deployment deployment, int objects) {
     for (int i = 0; i < objects; i++) {
       deployment
@@ -71,7 +71,7 @@
 
   private static ObjectNode window(Deployment deployment, int seconds, double changesPerSecond)
       throws InterruptedException {
-    double[] before = cpu(deployment);
+    double[] cpuBefore = cpu(deployment);
     long[] callsBefore = deployment.objectApi().calls();
     for (int second = 0; second < seconds; second++) {
       if (changesPerSecond > 0) {
@@ -79,13 +79,13 @@
       }
       Thread.sleep(1_000);
     }
-    double[] after = cpu(deployment);
+    double[] cpuAfter = cpu(deployment);
     long[] calls = deployment.objectApi().calls();
     ObjectNode result = Json.LENIENT.createObjectNode();
     ArrayNode shares = result.putArray("core_percent_by_controller");
     ArrayNode heap = result.putArray("heap_mb_by_controller");
-    for (int i = 0; i < after.length; i++) {
-      shares.add(Math.round((after[i] - before[i]) / seconds * 10_000) / 100.0);
+    for (int i = 0; i < cpuAfter.length; i++) {
+      shares.add(Math.round((cpuAfter[i] - cpuBefore[i]) / seconds * 10_000) / 100.0);
       heap.add(
           Math.round(deployment.metric(deployment.controllerUrl(i), "heap_bytes") / 1e5) / 10.0);
     }
@@ -95,13 +95,13 @@
   }
 
   private static void change(Deployment deployment, int number) {
-    ObjectNode file = Json.LENIENT.createObjectNode();
-    ObjectNode object = file.putArray("objects").addObject();
+    ObjectNode document = Json.LENIENT.createObjectNode();
+    ObjectNode object = document.putArray("objects").addObject();
     object.put("kind", "model").put("name", "changing");
     object.putObject("spec").put("contextTokens", number + 1).put("kvBytesPerToken", 1);
     Path path = deployment.folder().resolve("change.json");
     try {
-      Files.writeString(path, file.toString());
+      Files.writeString(path, document.toString());
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/bench/src/main/java/org/landingtrack/bench/Deployment.java
+++ b/bench/src/main/java/org/landingtrack/bench/Deployment.java
@@ -42,14 +42,14 @@
 import org.landingtrack.standins.WeightStore;
 
 /**
- * A small deployment on loopback: gateways and controllers as real processes, the stand-ins inside
- * this one.
+ * A small deployment on the loopback interface: gateways and controllers run as separate processes,
+ * the stand-ins for backend servers and the platform run in this process.
  */
 public final class Deployment implements AutoCloseable {
-  /** The service of type model. */
+  /** Name of the service of type model. */
   public static final String LLM = "llm";
 
-  /** The service of type plain. */
+  /** Name of the service of type plain. */
   public static final String PORTAL = "portal";
 
   private static final long READY_S = 60;
@@ -79,7 +79,7 @@
     this.files = new SettingsFiles(plan, folder);
   }
 
-  /** Starts a deployment with its configuration in force. */
+  /** Starts a deployment and waits until its configuration is in force on all gateways. */
   public static Deployment start(DeploymentPlan plan) {
     Deployment deployment = new Deployment(plan);
     try {
@@ -116,7 +116,7 @@
     awaitAllReady();
   }
 
-  /** Starts processes at the same time; they find each other through the VM list. */
+  /** Starts processes concurrently; they discover each other through the VM list. */
   private static List<ChildProcess> startTogether(int count, IntFunction<ChildProcess> start) {
     List<CompletableFuture<ChildProcess>> futures = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -140,17 +140,20 @@
     return ChildProcess.start(log, process, "--settings", settings.toString());
   }
 
-  /** Replaces the certificate of a process, its parts one after another. */
+  /**
+   * Replaces the certificate of a process by one that is valid for a number of days: first the
+   * certificate file, then the private key file.
+   */
   public void renewCertificate(String process, int index, int days) throws IOException {
     files.renewCertificate(process, index, days);
   }
 
-  /** Returns the certificate of an authority in the deployment's folder. */
+  /** Returns the certificate file of a certificate authority in the deployment's directory. */
   public Path authority(String name) {
     return files.authority(name);
   }
 
-  /** Puts the entry VMs and the named leaving backend servers on the VM list. */
+  /** Publishes a VM list with the entry VMs and the given backend servers, which are leaving. */
   public void listVms(List<String> leavingServers) {
     ArrayNode vms = Json.LENIENT.createArrayNode();
     for (int i = 0; i < peerPorts.size(); i++) {
@@ -173,8 +176,8 @@
   }
 
   private void applyAll() {
-    ObjectNode file = Json.LENIENT.createObjectNode();
-    ArrayNode objects = file.putArray("objects");
+    ObjectNode document = Json.LENIENT.createObjectNode();
+    ArrayNode objects = document.putArray("objects");
     plan.objects().forEach(objects::add);
     for (int i = 0; i < engines.size(); i++) {
       objects.add(server("engine-" + i, LLM, engines.get(i).address(), i));
@@ -187,11 +190,11 @@
     }
     Path path = folder.resolve("objects.json");
     try {
-      Files.writeString(path, file.toString());
+      Files.writeString(path, document.toString());
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    await("a controller takes the configuration", () -> ctl(0, "status").code() == 0);
+    await("controller 0 answers ctl status", () -> ctl(0, "status").code() == 0);
     CtlResult result = ctl(0, "apply", path.toString());
     if (result.code() != 0) {
       throw new IllegalStateException("apply failed: " + result.text());
@@ -212,14 +215,17 @@
     return object;
   }
 
-  /** Waits until every gateway has the newest configuration. */
+  /**
+   * Waits until every gateway is ready, the controllers know each other, and every gateway has the
+   * newest configuration.
+   */
   public void awaitAllReady() {
     for (int i = 0; i < gateways.size(); i++) {
       awaitReady(i);
     }
-    await("the controllers know each other", this::allMembersKnown);
+    await("each live controller has all controllers as members", this::allMembersKnown);
     await(
-        "the configuration is in force everywhere",
+        "the configuration is in force on all gateways",
         () -> {
           int servers = engines.size() + stores.size() + plains.size();
           CtlResult status = ctl(0, "--output", "json", "status");
@@ -229,7 +235,7 @@
         });
   }
 
-  /** Waits until every live gateway has what a controller has in force. */
+  /** Waits until every live gateway has the configuration that a controller has in force. */
   public void awaitInForce(int controller) {
     long revision =
         json(ctl(controller, "--output", "json", "status").text()).path("revision").asLong();
@@ -260,12 +266,15 @@
     await("gateway " + index + " is ready", () -> probe.isOk(gatewayUrl(index) + "/ready"));
   }
 
-  /** Waits for a condition; fails after a long time that no verdict rests on. */
+  /**
+   * Waits for a condition; throws an {@link IllegalStateException} after 60 s. The limit is
+   * generous: it only ends a failed test, no result depends on it.
+   */
   public static void await(String what, BooleanSupplier condition) {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_S);
+    long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_S);
     while (!condition.getAsBoolean()) {
-      if (System.nanoTime() > end) {
-        throw new IllegalStateException("not so after " + READY_S + " s: " + what);
+      if (System.nanoTime() > endNs) {
+        throw new IllegalStateException("condition not met after " + READY_S + " s: " + what);
       }
       try {
         Thread.sleep(20);
@@ -276,7 +285,10 @@
     }
   }
 
-  /** Reads one metric of a process; -1 if it does not answer. */
+  /**
+   * Returns a metric of a process, given with its labels and without the prefix {@code
+   * landingtrack_}; -1 if the process does not answer or has no such metric.
+   */
   public double metric(String url, String name) {
     return probe.metric(url, name);
   }
@@ -289,48 +301,48 @@
     }
   }
 
-  /** What {@code landingtrack ctl} printed and its exit code. */
+  /** Output and exit code of a call of {@code landingtrack ctl}. */
   public record CtlResult(int code, String text) {}
 
-  /** Runs {@code ctl} against a controller. */
-  public CtlResult ctl(int controller, String... words) {
-    return ctlAs(SettingsFiles.OPERATOR_KEY, controller, words);
+  /** Runs {@code ctl} against a controller with the key of an operator with the role writer. */
+  public CtlResult ctl(int controller, String... arguments) {
+    return ctlAs(SettingsFiles.OPERATOR_KEY, controller, arguments);
   }
 
-  /** Runs {@code ctl} with another operator's key. */
-  public CtlResult ctlAs(String key, int controller, String... words) {
+  /** Runs {@code ctl} against a controller with a given operator key. */
+  public CtlResult ctlAs(String key, int controller, String... arguments) {
     List<String> args = new ArrayList<>(List.of("--key", key));
     if (plan.tls()) {
       args.addAll(List.of("--ca", authority("authority").toString()));
     }
-    args.addAll(List.of(words));
+    args.addAll(List.of(arguments));
     return ctlRaw(controller, args);
   }
 
-  /** Runs {@code ctl} against a controller with nothing but these arguments. */
+  /** Runs {@code ctl} against a controller without adding a key or certificate authority. */
   public CtlResult ctlRaw(int controller, List<String> arguments) {
     List<String> args = new ArrayList<>(List.of("ctl", "--controller"));
     args.add("127.0.0.1:" + controllers.get(controller).port("operators"));
     args.addAll(arguments);
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    PrintStream out = new PrintStream(bytes, true, StandardCharsets.UTF_8);
-    int code = new CommandLineProgram(out, out).run(args.toArray(new String[0]));
-    return new CtlResult(code, bytes.toString(StandardCharsets.UTF_8));
+    ByteArrayOutputStream outputBytes = new ByteArrayOutputStream();
+    PrintStream output = new PrintStream(outputBytes, true, StandardCharsets.UTF_8);
+    int code = new CommandLineProgram(output, output).run(args.toArray(new String[0]));
+    return new CtlResult(code, outputBytes.toString(StandardCharsets.UTF_8));
   }
 
-  /** Starts a controller again on the ports and VM name that it had. */
+  /** Kills a controller and starts it again with the same peer port and VM name. */
   public void restartController(int index) {
     controllers.get(index).close();
     controllers.set(index, startController(index));
   }
 
-  /** Starts a gateway again on the port that it had. */
+  /** Kills a gateway and starts it again on the same port. */
   public void restartGateway(int index) {
     gateways.get(index).close();
     gateways.set(index, startGateway(index));
   }
 
-  /** Adds one more entry VM's controller. */
+  /** Starts the controller of a further entry VM and returns its index. */
   public int addController() {
     int index = controllers.size();
     peerPorts.add(0);
--- a/bench/src/main/java/org/landingtrack/bench/DeploymentPlan.java
+++ b/bench/src/main/java/org/landingtrack/bench/DeploymentPlan.java
@@ -24,7 +24,7 @@
 import org.landingtrack.standins.StoreServer;
 
 /**
- * What a deployment consists of.
+ * The size and options of a {@link Deployment}. Immutable.
  *
  * <pre>{@code
  * DeploymentPlan plan = new DeploymentPlan.Builder().setGateways(2).setEngines(4).build();
@@ -77,7 +77,7 @@
     return builder.probeMs;
   }
 
-  /** Returns the data centre of the VM or backend server with a number; they take turns. */
+  /** Returns the data centre of the VM or backend server with an index, assigned round-robin. */
   String dataCentre(int index) {
     return "dc-" + (1 + index % builder.dataCentres);
   }
@@ -86,12 +86,12 @@
     return builder.tls;
   }
 
-  /** Returns the key that the callers of a team show. */
+  /** Returns the API key of a team. */
   public static String teamKey(String team) {
     return "key-of-" + team;
   }
 
-  /** Returns the objects but for the backend servers. */
+  /** Returns the configuration objects, except the backend servers. */
   List<ObjectNode> objects() {
     List<ObjectNode> objects = new ArrayList<>();
     for (String team : builder.teams) {
@@ -143,7 +143,7 @@
     spec.put("team", team).put("service", service).put("maxPriority", 3);
   }
 
-  /** Collects the parts of a plan. */
+  /** Builder of a plan. Not thread-safe. */
   public static final class Builder {
     private int controllers = 2;
     private int gateways = 2;
@@ -222,25 +222,27 @@
       return this;
     }
 
-    /** Sets each team's limit in requests a second. */
+    /** Sets the rate limit of each team, in requests per second; also its burst. */
     public Builder setTeamRate(int requestsPerSecond) {
       teamRate = requestsPerSecond;
       return this;
     }
 
-    /** Spreads VMs and backend servers over so many data centres, in turn. */
+    /**
+     * Sets the number of data centres; VMs and backend servers are spread over them round-robin.
+     */
     public Builder setDataCentres(int number) {
       dataCentres = number;
       return this;
     }
 
-    /** Lets processes and operators talk by TLS only. */
+    /** Sets whether connections between processes and from operators must use TLS. */
     public Builder setTls(boolean on) {
       tls = on;
       return this;
     }
 
-    /** Sets what the model service weighs, and its link budget in bytes a second. */
+    /** Sets the cost weights of the model service and its link budget in bytes per second. */
     public Builder setWeights(double ttft, double recompute, double link, long bytesPerSecond) {
       weightTtft = ttft;
       weightRecompute = recompute;
@@ -252,7 +254,7 @@
     public DeploymentPlan build() {
       if (controllers < 1 || gateways < 1) {
         throw new IllegalArgumentException(
-            "need a controller and a gateway: " + controllers + ", " + gateways);
+            "controllers and gateways must be at least 1: " + controllers + ", " + gateways);
       }
       return new DeploymentPlan(this);
     }
--- a/bench/src/main/java/org/landingtrack/bench/KillDrill.java
+++ b/bench/src/main/java/org/landingtrack/bench/KillDrill.java
@@ -33,8 +33,9 @@
 import org.landingtrack.standins.EngineServer;
 
 /**
- * Load, while gateways and controllers are killed and frozen, streams are cut, and the platform
- * goes out, at random from a seed. Counts what the callers and the engines saw.
+ * Fault injection under load: kills and suspends gateways and controllers, cuts streams and makes
+ * the platform unavailable, in a random order from a seed. Counts what the callers and the engines
+ * observed.
  */
 public final class KillDrill {
   private static final int CALLERS = 8;
@@ -47,17 +48,24 @@
   private final List<Sent> sent = Collections.synchronizedList(new ArrayList<>());
   private final List<String> actions = new ArrayList<>();
 
-  /** A request with its answer; {@code question} is unique, so that its runs can be counted. */
+  /**
+   * A request with its answer. Each question is unique, so that the engines' runs are countable.
+   */
   private record Sent(Ask ask, Answer answer) {}
 
   /**
-   * What was counted.
+   * The counts of a run.
    *
-   * @param lost answers that were neither whole nor said to be failed
-   * @param doubled requests not to be repeated that ran more than once, and answers with a token
-   *     twice
-   * @param crossed whole answers that were not the one to their own request
-   * @param falseNotRun requests that were said not to have run but had
+   * @param whole complete answers
+   * @param refused requests that were answered with an error that states that they did not run
+   * @param unknown requests that were answered with any other error
+   * @param cut requests whose connection failed or closed before the answer was complete
+   * @param lost answers that were neither complete nor an error
+   * @param doubled at-most-once requests that ran more than once
+   * @param crossed complete answers whose text is not the one expected for their request, for
+   *     example the answer to another request or one with a token twice
+   * @param falseNotRun requests that ran although every answer to them stated that they had not
+   * @param actions the injected faults, in order
    */
   public record Counts(
       int sent,
@@ -81,7 +89,7 @@
     this.random = new SplittableRandom(seed);
   }
 
-  /** Runs a drill of so many disturbances, with at least so many seconds of load. */
+  /** Runs a number of disturbances under load that lasts at least a number of seconds. */
   public static Counts run(long seed, int disturbances, double seconds)
       throws InterruptedException {
     DeploymentPlan plan =
@@ -98,11 +106,11 @@
 
   private Counts drill(int disturbances, double seconds) throws InterruptedException {
     AtomicBoolean stop = new AtomicBoolean();
-    ExecutorService threads = Executors.newFixedThreadPool(CALLERS);
-    long end = System.nanoTime() + (long) (seconds * 1e9);
+    ExecutorService executor = Executors.newFixedThreadPool(CALLERS);
+    long endNs = System.nanoTime() + (long) (seconds * 1e9);
     for (int i = 0; i < CALLERS; i++) {
       int caller = i;
-      threads.execute(() -> callUntil(caller, stop));
+      executor.execute(() -> callUntil(caller, stop));
     }
     long pauseMs = Math.max(200, (long) (seconds * 1_000 / Math.max(1, disturbances)));
     for (int i = 0; i < disturbances; i++) {
@@ -110,13 +118,14 @@
       disturb();
       Thread.sleep(pauseMs / 2);
     }
-    while (System.nanoTime() < end) {
+    while (System.nanoTime() < endNs) {
       Thread.sleep(50);
     }
     stop.set(true);
-    threads.shutdown();
-    if (!threads.awaitTermination(2, TimeUnit.MINUTES)) {
-      throw new IllegalStateException("callers did not end");
+    executor.shutdown();
+    if (!executor.awaitTermination(2, TimeUnit.MINUTES)) {
+      throw new IllegalStateException(
+          "callers are still running 2 minutes after the end of the load");
     }
     return count();
   }
@@ -126,8 +135,8 @@
     String system = "handbook " + caller % 3 + " ".repeat(3_000);
     for (int number = 0; !stop.get(); number++) {
       String question = "drill " + caller + " " + number;
-      boolean once = number % 2 == 0;
-      Ask ask =
+      boolean atMostOnce = number % 2 == 0;
+      Ask prompt =
           new Ask(
               Deployment.LLM,
               DeploymentPlan.teamKey("quotes"),
@@ -135,13 +144,13 @@
               question,
               TOKENS,
               DEADLINE_MS,
-              once,
-              once ? question : "");
-      Answer answer = client.ask(url(caller, number), ask);
-      sent.add(new Sent(ask, answer));
-      // A caller that got no whole answer comes back once through another gateway, as they do.
+              atMostOnce,
+              atMostOnce ? question : "");
+      Answer answer = client.ask(url(caller, number), prompt);
+      sent.add(new Sent(prompt, answer));
+      // Like real callers, a caller without a complete answer retries once through another gateway.
       if (!answer.whole()) {
-        sent.add(new Sent(ask, client.ask(url(caller, number + 1), ask)));
+        sent.add(new Sent(prompt, client.ask(url(caller, number + 1), prompt)));
       }
     }
   }
@@ -151,33 +160,33 @@
   }
 
   private void disturb() throws InterruptedException {
-    int which = random.nextInt(3);
+    int index = random.nextInt(3);
     switch (random.nextInt(7)) {
       case 0 -> {
-        actions.add("kill gateway " + which);
-        deployment.gateway(which).kill();
-        deployment.restartGateway(which);
+        actions.add("kill gateway " + index);
+        deployment.gateway(index).kill();
+        deployment.restartGateway(index);
       }
       case 1 -> {
-        actions.add("kill controller " + which);
-        deployment.controller(which).kill();
-        deployment.restartController(which);
+        actions.add("kill controller " + index);
+        deployment.controller(index).kill();
+        deployment.restartController(index);
       }
       case 2 -> {
-        actions.add("freeze gateway " + which);
-        deployment.gateway(which).freeze();
+        actions.add("freeze gateway " + index);
+        deployment.gateway(index).freeze();
         Thread.sleep(FREEZE_MS);
-        deployment.gateway(which).resume();
+        deployment.gateway(index).resume();
       }
       case 3 -> {
-        actions.add("freeze controller " + which);
-        deployment.controller(which).freeze();
+        actions.add("freeze controller " + index);
+        deployment.controller(index).freeze();
         Thread.sleep(FREEZE_MS);
-        deployment.controller(which).resume();
+        deployment.controller(index).resume();
       }
       case 4 -> {
-        actions.add("cut streams of engine " + which);
-        deployment.engines().get(which).faults().set("cutAfter", 3).set("cutOnce", 5);
+        actions.add("cut streams of engine " + index);
+        deployment.engines().get(index).faults().set("cutAfter", 3).set("cutOnce", 5);
       }
       case 5 -> {
         actions.add("lose answers of the platform");
@@ -199,21 +208,22 @@
     int cut = 0;
     int lost = 0;
     int crossed = 0;
-    Map<String, Integer> answersSayingNotRun = new HashMap<>();
-    Map<String, Integer> asked = new HashMap<>();
-    for (Sent one : sent) {
-      Answer answer = one.answer();
-      String question = one.ask().question();
-      asked.merge(question, 1, Integer::sum);
+    Map<String, Integer> notRunByQuestion = new HashMap<>();
+    Map<String, Integer> sentByQuestion = new HashMap<>();
+    for (Sent exchange : sent) {
+      Answer answer = exchange.answer();
+      String question = exchange.ask().question();
+      sentByQuestion.merge(question, 1, Integer::sum);
       if (answer.whole()) {
         whole++;
-        crossed += answer.text().equals(CallerClient.expected(one.ask(), "v1")) ? 0 : 1;
+        crossed += answer.text().equals(CallerClient.expected(exchange.ask(), "v1")) ? 0 : 1;
       } else if (answer.kind().equals("CONNECTION") || answer.kind().equals("CUT")) {
-        // The gateway that held the connection was killed; the caller sees that nothing is whole.
+        // The gateway with the connection was killed; the caller can tell that the answer is
+        // incomplete.
         cut++;
       } else if (answer.ran().equals("not-run")) {
         refused++;
-        answersSayingNotRun.merge(question, 1, Integer::sum);
+        notRunByQuestion.merge(question, 1, Integer::sum);
       } else if (!answer.kind().isEmpty()) {
         unknown++;
       } else {
@@ -221,8 +231,8 @@
       }
     }
     int falseNotRun = 0;
-    for (Map.Entry<String, Integer> entry : answersSayingNotRun.entrySet()) {
-      boolean allSayNotRun = entry.getValue().equals(asked.get(entry.getKey()));
+    for (Map.Entry<String, Integer> entry : notRunByQuestion.entrySet()) {
+      boolean allSayNotRun = entry.getValue().equals(sentByQuestion.get(entry.getKey()));
       falseNotRun += allSayNotRun && runs(entry.getKey()) > 0 ? 1 : 0;
     }
     return new Counts(
@@ -240,8 +250,8 @@
 
   private int doubled() {
     int doubled = 0;
-    for (Sent one : sent) {
-      if (one.ask().noRepeat() && runs(one.ask().question()) > 1) {
+    for (Sent exchange : sent) {
+      if (exchange.ask().noRepeat() && runs(exchange.ask().question()) > 1) {
         doubled++;
       }
     }
--- a/bench/src/main/java/org/landingtrack/bench/LoadRun.java
+++ b/bench/src/main/java/org/landingtrack/bench/LoadRun.java
@@ -25,12 +25,12 @@
 import org.landingtrack.bench.CallerClient.Answer;
 import org.landingtrack.bench.CallerClient.Ask;
 
-/** Sends a workload to the gateways in turn and keeps every answer. */
+/** Sends a workload to the gateways round-robin and records every answer. */
 final class LoadRun implements AutoCloseable {
   private static final long READ_MS = 30_000;
   private static final int MAX_REQUESTS = 60_000;
 
-  /** An answer with the time at which its request was sent, in seconds from the run's start. */
+  /** An answer with its request, and the request's planned send time in seconds from the start. */
   record Timed(double atS, Ask ask, Answer answer) {}
 
   private final List<String> gateways;
@@ -43,43 +43,51 @@
     this.gateways = gateways;
   }
 
-  /** Sends requests one after another, a few at a time. */
-  void warmUp(List<Ask> asks, int atOnce) throws InterruptedException {
-    ExecutorService few = Executors.newFixedThreadPool(atOnce);
-    for (int i = 0; i < asks.size(); i++) {
-      Ask ask = asks.get(i);
+  /**
+   * Sends requests with limited concurrency and waits for their answers, which are not recorded.
+   */
+  void warmUp(List<Ask> prompts, int concurrency) throws InterruptedException {
+    ExecutorService executor = Executors.newFixedThreadPool(concurrency);
+    for (int i = 0; i < prompts.size(); i++) {
+      Ask prompt = prompts.get(i);
       String gateway = gateways.get(i % gateways.size());
-      few.execute(() -> client.ask(gateway, ask));
+      executor.execute(() -> client.ask(gateway, prompt));
     }
-    few.shutdown();
-    if (!few.awaitTermination(5, TimeUnit.MINUTES)) {
-      throw new IllegalStateException("the warm-up did not end");
+    executor.shutdown();
+    if (!executor.awaitTermination(5, TimeUnit.MINUTES)) {
+      throw new IllegalStateException("warm-up requests are still running after 5 minutes");
     }
   }
 
-  /** Sends a Poisson stream for some seconds; the answers may come later. */
+  /**
+   * Sends requests with Poisson arrivals for a number of seconds, without waiting for the answers.
+   * All calls together send 60,000 requests at most.
+   *
+   * @param startS the time at which this call starts, in seconds from the start of the first
+   */
   void run(Workload workload, double requestsPerSecond, double seconds, double startS)
       throws InterruptedException {
-    long began = System.nanoTime();
-    double next = 0;
-    while (next < seconds && sent.get() < MAX_REQUESTS) {
-      long waitNs = began + (long) (next * 1e9) - System.nanoTime();
+    long startNs = System.nanoTime();
+    double nextS = 0;
+    while (nextS < seconds && sent.get() < MAX_REQUESTS) {
+      long waitNs = startNs + (long) (nextS * 1e9) - System.nanoTime();
       if (waitNs > 0) {
         TimeUnit.NANOSECONDS.sleep(waitNs);
       }
-      Ask ask = workload.next();
+      Ask prompt = workload.next();
       String gateway = gateways.get((int) (sent.getAndIncrement() % gateways.size()));
-      double at = startS + next;
-      threads.execute(() -> answers.add(new Timed(at, ask, client.ask(gateway, ask))));
-      next += workload.nextGapS(requestsPerSecond);
+      double sentAtS = startS + nextS;
+      threads.execute(() -> answers.add(new Timed(sentAtS, prompt, client.ask(gateway, prompt))));
+      nextS += workload.nextGapS(requestsPerSecond);
     }
   }
 
-  /** Waits for all answers. */
+  /** Waits for all outstanding answers and returns all of them. */
   List<Timed> finish() throws InterruptedException {
     threads.shutdown();
     if (!threads.awaitTermination(2, TimeUnit.MINUTES)) {
-      throw new IllegalStateException("answers are missing");
+      throw new IllegalStateException(
+          "requests are still without an answer 2 minutes after the last was sent");
     }
     return List.copyOf(answers);
   }
--- a/bench/src/main/java/org/landingtrack/bench/OverloadCommand.java
+++ b/bench/src/main/java/org/landingtrack/bench/OverloadCommand.java
@@ -22,7 +22,10 @@
 import org.apache.commons.cli.CommandLine;
 import org.landingtrack.internal.base.Json;
 
-/** Measures goodput at 1×, 2× and 4× of what the engines can carry, and the return to normal. */
+/**
+ * Measures goodput at 1×, 2× and 4× of a base rate, which should be the capacity of the engines,
+ * and the time to recover when the load is back at 1×.
+ */
 final class OverloadCommand {
   private static final int WARM_UP_AT_ONCE = 8;
   private static final long SETTLE_MS = 3_000;
@@ -36,29 +39,29 @@
     Profile profile = Profile.of(line.getOptionValue("profile", "kigali"));
     long seed = Long.parseLong(line.getOptionValue("seed", "1"));
     int seconds = Integer.parseInt(line.getOptionValue("seconds", "15"));
-    double base = Double.parseDouble(line.getOptionValue("rate", "40"));
+    double baseRate = Double.parseDouble(line.getOptionValue("rate", "40"));
     try (Deployment deployment = Deployment.start(profile.plan("landingtrack", seed));
         LoadRun load = new LoadRun(PolicyCommand.urls(deployment))) {
       Workload workload = new Workload(profile, seed);
       load.warmUp(workload.warmUp(), WARM_UP_AT_ONCE);
       Thread.sleep(SETTLE_MS);
       for (int i = 0; i < FACTORS.length; i++) {
-        load.run(workload, base * FACTORS[i], seconds, (double) i * seconds);
+        load.run(workload, baseRate * FACTORS[i], seconds, (double) i * seconds);
       }
       List<LoadRun.Timed> answers = load.finish();
-      System.out.println(report(answers, seconds, base));
+      System.out.println(report(answers, seconds, baseRate));
     }
     return 0;
   }
 
-  private static ObjectNode report(List<LoadRun.Timed> answers, int seconds, double base) {
+  private static ObjectNode report(List<LoadRun.Timed> answers, int seconds, double baseRate) {
     ObjectNode report = Json.LENIENT.createObjectNode();
-    report.put("base_requests_per_second", base);
+    report.put("base_requests_per_second", baseRate);
     for (int i = 0; i < FACTORS.length; i++) {
-      double from = (double) i * seconds;
-      List<LoadRun.Timed> part = between(answers, from, from + seconds);
+      double fromS = (double) i * seconds;
+      List<LoadRun.Timed> selected = between(answers, fromS, fromS + seconds);
       String name = i == FACTORS.length - 1 ? "after" : "at_" + (int) FACTORS[i] + "x";
-      report.set(name, PolicyCommand.summary(part, seconds));
+      report.set(name, PolicyCommand.summary(selected, seconds));
     }
     ArrayNode shares = report.putArray("whole_share_by_second");
     for (int second = 0; second < FACTORS.length * seconds; second++) {
@@ -68,28 +71,33 @@
     return report;
   }
 
-  private static List<LoadRun.Timed> between(List<LoadRun.Timed> answers, double from, double to) {
-    List<LoadRun.Timed> part = new ArrayList<>();
+  private static List<LoadRun.Timed> between(
+      List<LoadRun.Timed> answers, double fromS, double toS) {
+    List<LoadRun.Timed> selected = new ArrayList<>();
     for (LoadRun.Timed timed : answers) {
-      if (timed.atS() >= from && timed.atS() < to) {
-        part.add(timed);
+      if (timed.atS() >= fromS && timed.atS() < toS) {
+        selected.add(timed);
       }
     }
-    return part;
+    return selected;
   }
 
-  /** Returns the share of answers that are whole, in hundredths; 0 if there are none. */
-  private static double wholeShare(List<LoadRun.Timed> part) {
-    long whole = part.stream().filter(timed -> timed.answer().whole()).count();
-    return part.isEmpty() ? 0 : Math.round(100.0 * whole / part.size()) / 100.0;
+  /** Returns the share of complete answers, rounded to hundredths; 0 if there are no answers. */
+  private static double wholeShare(List<LoadRun.Timed> selected) {
+    long whole = selected.stream().filter(timed -> timed.answer().whole()).count();
+    return selected.isEmpty() ? 0 : Math.round(100.0 * whole / selected.size()) / 100.0;
   }
 
-  /** Seconds after the overload until a second in which at least 95 in 100 are answered whole. */
-  private static double recovery(List<LoadRun.Timed> answers, double end, int seconds) {
-    for (double after = 0; after < seconds; after += BUCKET_S) {
-      List<LoadRun.Timed> part = between(answers, end + after, end + after + BUCKET_S);
-      if (wholeShare(part) >= NORMAL_SHARE) {
-        return after + BUCKET_S;
+  /**
+   * Returns the seconds from the end of the overload to the end of the first second in which at
+   * least 95% of the answers are complete; -1 if there is none.
+   */
+  private static double recovery(List<LoadRun.Timed> answers, double overloadEndS, int seconds) {
+    for (double afterS = 0; afterS < seconds; afterS += BUCKET_S) {
+      List<LoadRun.Timed> selected =
+          between(answers, overloadEndS + afterS, overloadEndS + afterS + BUCKET_S);
+      if (wholeShare(selected) >= NORMAL_SHARE) {
+        return afterS + BUCKET_S;
       }
     }
     return -1;
--- a/bench/src/main/java/org/landingtrack/bench/PlainCaller.java
+++ b/bench/src/main/java/org/landingtrack/bench/PlainCaller.java
@@ -24,7 +24,7 @@
 import okhttp3.RequestBody;
 import okhttp3.Response;
 
-/** A caller of plain services through a gateway. Thread-safe. */
+/** Client that calls services of type plain through a gateway, as one team. Thread-safe. */
 public final class PlainCaller {
   private static final MediaType TEXT = MediaType.get("text/plain");
 
@@ -41,10 +41,13 @@
     this.team = team;
   }
 
-  /** An answer; the kind is empty unless it is an error of landingtrack. */
+  /**
+   * An answer: HTTP status (0 if the connection failed), the kind of landingtrack's error (empty
+   * for any other answer, {@code CONNECTION} if the connection failed), and the body.
+   */
   public record Reply(int status, String kind, String body) {}
 
-  /** Posts a text that must not run twice. */
+  /** Sends a POST that must run at most once, with a key that identifies it in retries. */
   public Reply post(String service, String path, String body, String requestKey) {
     Request.Builder request = request(service, path).post(RequestBody.create(body, TEXT));
     request.header("Landingtrack-No-Repeat", "true");
@@ -52,7 +55,7 @@
     return send(request.build());
   }
 
-  /** Reads a path. */
+  /** Sends a GET. */
   public Reply get(String service, String path) {
     return send(request(service, path).build());
   }
--- a/bench/src/main/java/org/landingtrack/bench/PolicyCommand.java
+++ b/bench/src/main/java/org/landingtrack/bench/PolicyCommand.java
@@ -26,7 +26,10 @@
 import org.landingtrack.standins.EngineServer;
 import org.landingtrack.standins.StoreServer;
 
-/** Measures a routing policy on a profile, over real gateways and controllers. */
+/**
+ * Measures routing policies under the load of a profile, with real gateway and controller
+ * processes, optionally with a fault after a third of the time.
+ */
 final class PolicyCommand {
   private static final List<String> POLICIES =
       List.of("landingtrack", "round-robin", "least-loaded", "prefix-hash");
@@ -51,8 +54,8 @@
     if (!POLICIES.containsAll(policies)) {
       throw new IllegalArgumentException("policy must be all or one of " + POLICIES);
     }
-    for (String one : policies) {
-      System.out.println(measure(profile, one, fault, seed, seconds));
+    for (String name : policies) {
+      System.out.println(measure(profile, name, fault, seed, seconds));
     }
     return 0;
   }
@@ -119,12 +122,12 @@
     }
   }
 
-  /** Sums up answers; shares are over the prompt tokens of whole answers. */
+  /** Summarizes answers. The recomputed share is of the prompt tokens of complete answers. */
   static ObjectNode summary(List<LoadRun.Timed> answers, double seconds) {
     Histogram ttft = new Histogram(3);
     long whole = 0;
     long refused = 0;
-    long inTime = 0;
+    long withinDeadline = 0;
     long promptTokens = 0;
     long cachedTokens = 0;
     for (LoadRun.Timed timed : answers) {
@@ -134,7 +137,7 @@
         continue;
       }
       whole++;
-      inTime += answer.ttftMs() <= timed.ask().deadlineMs() ? 1 : 0;
+      withinDeadline += answer.ttftMs() <= timed.ask().deadlineMs() ? 1 : 0;
       ttft.recordValue(Math.max(1, (long) (answer.ttftMs() * 1_000)));
       promptTokens += answer.promptTokens();
       cachedTokens += answer.cachedTokens();
@@ -147,7 +150,7 @@
     result.put(
         "recomputed_share",
         promptTokens == 0 ? 0 : 1 - (double) cachedTokens / (double) promptTokens);
-    result.put("goodput", inTime / seconds);
+    result.put("goodput", withinDeadline / seconds);
     return result;
   }
 }
--- a/bench/src/main/java/org/landingtrack/bench/ProcessProbe.java
+++ b/bench/src/main/java/org/landingtrack/bench/ProcessProbe.java
@@ -21,7 +21,7 @@
 import okhttp3.Request;
 import okhttp3.Response;
 
-/** Asks processes for their readiness and their metrics. Thread-safe. */
+/** Reads the readiness and metrics of processes over HTTP, within 2 s per call. Thread-safe. */
 final class ProcessProbe {
   private static final int CALL_S = 2;
   private static final String PREFIX = "landingtrack_";
@@ -38,7 +38,8 @@
   }
 
   /**
-   * Reads one metric, labels included in its name; -1 if the process or the metric is not there.
+   * Returns a metric, given with its labels and without the prefix {@code landingtrack_}; -1 if the
+   * process does not answer or has no such metric.
    */
   double metric(String url, String name) {
     try (Response response = get(url + "/metrics")) {
@@ -48,7 +49,7 @@
         }
       }
     } catch (IOException e) {
-      // Not answering is a value of its own.
+      // A process that does not answer is reported as -1.
     }
     return -1;
   }
--- a/bench/src/main/java/org/landingtrack/bench/Profile.java
+++ b/bench/src/main/java/org/landingtrack/bench/Profile.java
@@ -20,15 +20,15 @@
 import org.landingtrack.standins.StoreServer;
 
 /**
- * A user's workload, scaled down in time: documents that come back after gaps which are longer than
- * the engines' memory keeps them.
+ * The workload of a user, scaled down in time: prompts share documents, and the gaps between two
+ * requests for a document are longer than an engine's prefix cache retains it.
  *
- * @param documents long shared texts or records, over all teams
- * @param documentBytes length of one
- * @param ownBytes length of the part that only one request has, for the large kind of request
- * @param largeShare share of requests of the large kind
+ * @param documents number of long shared texts or records, over all teams
+ * @param documentBytes length of a document
+ * @param ownBytes length of the text that is unique to a request, for large requests
+ * @param largeShare share of large requests
  * @param requestsPerSecond arrival rate at 1×
- * @param skew exponent of the documents' popularity; 0 for uniform
+ * @param skew exponent of the Zipf distribution of the documents' popularity; 0 for uniform
  */
 public record Profile(
     String name,
@@ -50,7 +50,7 @@
 
   private static final int KV_BYTES = 1_000;
 
-  /** Quoting: a few large shared handbooks, time to first token weighs most. */
+  /** Quoting: few large shared handbooks; time to first token has the highest weight. */
   public static final Profile KIGALI =
       new Profile(
           "kigali",
@@ -70,7 +70,7 @@
           0.02,
           400_000_000L);
 
-  /** Field boundaries: long records that come back rarely, behind slower links. */
+  /** Field boundaries: many long records that are rarely requested again, over slower links. */
   public static final Profile SASAKI =
       new Profile(
           "sasaki",
@@ -94,7 +94,8 @@
     return switch (name) {
       case "kigali" -> KIGALI;
       case "sasaki" -> SASAKI;
-      default -> throw new IllegalArgumentException("profile must be kigali or sasaki: " + name);
+      default ->
+          throw new IllegalArgumentException("profile must be kigali or sasaki, not " + name);
     };
   }
 
--- a/bench/src/main/java/org/landingtrack/bench/RoutingBenchmark.java
+++ b/bench/src/main/java/org/landingtrack/bench/RoutingBenchmark.java
@@ -38,7 +38,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Time and allocation of one routing decision, by the runners of a service. */
+/** Measures time and allocation of a routing decision, by number of servers of a service. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.SampleTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -56,7 +56,7 @@
   private CostPolicy policy = new CostPolicy(() -> new SplittableRandom(1));
   private int next;
 
-  /** Makes queries whose prompts are held by two engines and a store VM. */
+  /** Creates queries for prompts that two engines have cached in part and a store VM has stored. */
   @Setup
   public void setUp() {
     SplittableRandom random = new SplittableRandom(1);
@@ -88,7 +88,7 @@
     }
   }
 
-  /** Makes one decision. */
+  /** Makes one routing decision. */
   @Benchmark
   public RouteDecision decide() {
     next = (next + 1) % CHAINS;
--- a/bench/src/main/java/org/landingtrack/bench/SendCommand.java
+++ b/bench/src/main/java/org/landingtrack/bench/SendCommand.java
@@ -24,9 +24,10 @@
 import org.landingtrack.internal.base.Json;
 
 /**
- * Sends the prompts of a file, in order, to the gateways in turn. Each line of the file is a JSON
- * object: {@code system} names a file whose text comes first, {@code question} is the short part,
- * and {@code pause_ms} is waited before it is sent.
+ * Sends the prompts of a file, one after another, to the gateways round-robin. Each line of the
+ * file is a JSON object: {@code system} names a file whose text starts the prompt, {@code question}
+ * is the text after it, {@code pause_ms} is the delay before the prompt is sent (default 0), and
+ * {@code max_tokens} limits the answer (default 16).
  */
 final class SendCommand {
   private static final long READ_MS = 30_000;
@@ -40,11 +41,11 @@
     int failed = 0;
     int number = 0;
     System.out.println("first line | time to first token | share recomputed | backend server | id");
-    for (String text : Files.readAllLines(file)) {
-      if (text.isBlank()) {
+    for (String promptLine : Files.readAllLines(file)) {
+      if (promptLine.isBlank()) {
         continue;
       }
-      JsonNode prompt = Json.LENIENT.readTree(text);
+      JsonNode prompt = Json.LENIENT.readTree(promptLine);
       Thread.sleep(prompt.path("pause_ms").asLong(0));
       String system = Files.readString(file.resolveSibling(prompt.path("system").asText()));
       CallerClient.Answer answer =
--- a/bench/src/main/java/org/landingtrack/bench/SettingsFiles.java
+++ b/bench/src/main/java/org/landingtrack/bench/SettingsFiles.java
@@ -27,7 +27,7 @@
 import org.landingtrack.internal.base.Json;
 import org.landingtrack.internal.tls.CertificateIssuer;
 
-/** Writes the settings and certificates of a deployment's processes into its folder. */
+/** Writes the settings and certificates of a deployment's processes to its directory. */
 final class SettingsFiles {
   static final String OPERATOR_KEY = "operator";
   private static final String AUTHORITY = "authority";
@@ -44,7 +44,10 @@
     }
   }
 
-  /** Writes a controller's settings; a port of 0 is not known yet. */
+  /**
+   * Writes the settings of a controller. Its own peer port of 0 makes it choose a free one; another
+   * controller's port of 0 is not known yet and not listed as a seed.
+   */
   Path controller(int index, List<Integer> peerPorts, String objectApi, String vmList) {
     ObjectNode settings = common("controller", index);
     ObjectNode ports = settings.putObject("ports");
@@ -64,7 +67,7 @@
     return write("controller-" + index, settings);
   }
 
-  /** Writes a gateway's settings; it prefers the controller with its own index. */
+  /** Writes the settings of a gateway; the controller with its own index comes first. */
   Path gateway(int index, int callerPort, List<Integer> peerPorts) {
     ObjectNode settings = common("gateway", index);
     settings.putObject("callers").put("port", callerPort);
@@ -83,15 +86,15 @@
         .put("vm", "entry-" + index)
         .put("dataCentre", plan.dataCentre(index));
     if (plan.tls()) {
-      String own = process + "-" + index + "-tls";
-      if (!Files.exists(folder.resolve(own))) {
-        issue(own, CERTIFICATE_DAYS);
+      String directory = process + "-" + index + "-tls";
+      if (!Files.exists(folder.resolve(directory))) {
+        issue(directory, CERTIFICATE_DAYS);
       }
       settings
           .putObject("tls")
-          .put("certificate", own + "/" + CertificateIssuer.CERTIFICATE)
-          .put("privateKey", own + "/" + CertificateIssuer.PRIVATE_KEY)
-          .put("authority", own + "/" + CertificateIssuer.AUTHORITY);
+          .put("certificate", directory + "/" + CertificateIssuer.CERTIFICATE)
+          .put("privateKey", directory + "/" + CertificateIssuer.PRIVATE_KEY)
+          .put("authority", directory + "/" + CertificateIssuer.AUTHORITY);
     }
     return settings;
   }
@@ -111,20 +114,20 @@
         folder.resolve(AUTHORITY), name, List.of("127.0.0.1"), days, folder.resolve(name));
   }
 
-  /** Replaces the certificate of a process, its parts one after another. */
+  /** Replaces the certificate of a process: first the certificate file, then the private key. */
   void renewCertificate(String process, int index, int days) throws IOException {
-    String own = process + "-" + index + "-tls";
-    String next = own + "-" + days;
-    issue(next, days);
+    String directory = process + "-" + index + "-tls";
+    String renewed = directory + "-" + days;
+    issue(renewed, days);
     for (String file : List.of(CertificateIssuer.CERTIFICATE, CertificateIssuer.PRIVATE_KEY)) {
       Files.move(
-          folder.resolve(next).resolve(file),
-          folder.resolve(own).resolve(file),
+          folder.resolve(renewed).resolve(file),
+          folder.resolve(directory).resolve(file),
           StandardCopyOption.REPLACE_EXISTING);
     }
   }
 
-  /** Returns the deployment's authority, or another one that a test made. */
+  /** Returns the certificate file of the deployment's authority or of one that a test created. */
   Path authority(String name) {
     return folder.resolve(name).resolve(CertificateIssuer.CERTIFICATE);
   }
--- a/bench/src/main/java/org/landingtrack/bench/Workload.java
+++ b/bench/src/main/java/org/landingtrack/bench/Workload.java
@@ -20,7 +20,7 @@
 import java.util.SplittableRandom;
 import org.landingtrack.bench.CallerClient.Ask;
 
-/** Makes the requests of a profile from a seed. Used by one thread. */
+/** Generates the requests of a profile from a seed. Not thread-safe. */
 final class Workload {
   private static final long DEADLINE_MS = 8_000;
 
@@ -37,10 +37,10 @@
       documents.add(text(profile.documentBytes()));
     }
     this.cumulated = new double[profile.documents()];
-    double sum = 0;
+    double total = 0;
     for (int i = 0; i < cumulated.length; i++) {
-      sum += 1 / Math.pow(i + 1, profile.skew());
-      cumulated[i] = sum;
+      total += 1 / Math.pow(i + 1, profile.skew());
+      cumulated[i] = total;
     }
   }
 
@@ -53,25 +53,25 @@
     return text.toString();
   }
 
-  /** Returns one request for each document, to bring a deployment into its usual state. */
+  /** Returns one request for each document, to fill the caches before a measurement. */
   List<Ask> warmUp() {
-    List<Ask> asks = new ArrayList<>();
+    List<Ask> prompts = new ArrayList<>();
     for (int i = 0; i < documents.size(); i++) {
-      asks.add(ask(i, "warm up " + i));
+      prompts.add(ask(i, "warm up " + i));
     }
-    return asks;
+    return prompts;
   }
 
-  /** Returns the next request. */
+  /** Returns the next request, for a random document. */
   Ask next() {
-    double drawn = random.nextDouble() * cumulated[cumulated.length - 1];
+    double target = random.nextDouble() * cumulated[cumulated.length - 1];
     int document = 0;
-    while (cumulated[document] < drawn) {
+    while (cumulated[document] < target) {
       document++;
     }
     boolean large = random.nextDouble() < profile.largeShare();
-    String own = large ? text(profile.ownBytes()) + " " : "";
-    return ask(document, own + "question " + number++);
+    String uniqueText = large ? text(profile.ownBytes()) + " " : "";
+    return ask(document, uniqueText + "question " + number++);
   }
 
   private Ask ask(int document, String question) {
@@ -87,7 +87,7 @@
         "");
   }
 
-  /** Returns the time to the next arrival in seconds, for a Poisson stream. */
+  /** Returns a random time to the next arrival in seconds, for Poisson arrivals. */
   double nextGapS(double requestsPerSecond) {
     return -Math.log(1 - random.nextDouble()) / requestsPerSecond;
   }
--- a/bench/src/main/java/org/landingtrack/bench/package-info.java
+++ b/bench/src/main/java/org/landingtrack/bench/package-info.java
@@ -1,3 +1,3 @@
-/** The load tool and the measurements of landingtrack. Not part of the product. */
+/** The load generator and the benchmarks of landingtrack. Not part of the product. */
 @org.jspecify.annotations.NullMarked
 package org.landingtrack.bench;
