--- a/bench/src/main/java/org/landingtrack/bench/SettingsFiles.java
+++ b/bench/src/main/java/org/landingtrack/bench/SettingsFiles.java
@@ -67,7 +67,7 @@
     return write("controller-" + index, settings);
   }
 
-  /** Writes the settings of a gateway; the controller with its own index comes first. */
+  /** Writes the settings of a gateway, which prefers the controller with its own index. */
   Path gateway(int index, int callerPort, List<Integer> peerPorts) {
     ObjectNode settings = common("gateway", index);
     settings.putObject("callers").put("port", callerPort);
--- a/bench/src/test/java/org/landingtrack/bench/AtMostOnceProcessTest.java
+++ b/bench/src/test/java/org/landingtrack/bench/AtMostOnceProcessTest.java
@@ -29,7 +29,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A request marked as not to be repeated runs at most once, whatever dies. */
+/** A request marked as not repeatable runs at most once, whichever process or answer is lost. */
 public final class AtMostOnceProcessTest {
   private Deployment deployment;
   private final CallerClient client = Calls.client();
@@ -57,19 +57,21 @@
     return new Object[][] {{0}, {1}, {2}};
   }
 
-  /** The same keys on two gateways at once, while answers to the platform's writes get lost. */
+  /**
+   * Requests with one key arrive at two gateways concurrently; answers to platform writes are lost.
+   */
   @Test(dataProvider = "lostAnswers")
-  public void theSameKeyOnTwoGatewaysAtOnceRunsOnce(int lost) throws Exception {
-    deployment.objectApi().faults().set("lostAnswers", lost);
+  public void theSameKeyOnTwoGatewaysAtOnceRunsOnce(int lostAnswerCount) throws Exception {
+    deployment.objectApi().faults().set("lostAnswers", lostAnswerCount);
     List<Answer> answers =
         Calls.together(
             24,
             i -> {
-              String name = "race " + lost + " " + i / 4;
+              String name = "race " + lostAnswerCount + " " + i / 4;
               return client.ask(deployment.gatewayUrl(i % 2), Calls.once(name, name));
             });
     for (int question = 0; question < 6; question++) {
-      String name = "race " + lost + " " + question;
+      String name = "race " + lostAnswerCount + " " + question;
       int whole = 0;
       for (Answer answer : answers.subList(question * 4, question * 4 + 4)) {
         whole += answer.whole() ? 1 : 0;
@@ -80,13 +82,13 @@
     }
   }
 
-  /** The gateway dies while its request runs; the caller comes back through another one. */
+  /** The gateway is killed while a request runs; the caller retries through another gateway. */
   @Test
   public void aRetryAfterTheGatewaysDeathDoesNotRunAgain() throws Exception {
     String name = "gateway dies";
     Thread first = new Thread(() -> client.ask(deployment.gatewayUrl(0), Calls.once(name, name)));
     first.start();
-    Deployment.await("it runs", () -> Calls.runs(deployment, name) == 1);
+    Deployment.await("the request runs on an engine", () -> Calls.runs(deployment, name) == 1);
     deployment.gateway(0).kill();
     Answer second = client.ask(deployment.gatewayUrl(1), Calls.once(name, name));
     first.join();
@@ -97,7 +99,10 @@
     deployment.awaitReady(0);
   }
 
-  /** The controller that owns the key's shard is frozen, another takes over, then it wakes up. */
+  /**
+   * The controller that owns the key's shard is suspended, another one takes over, and the first is
+   * resumed with its old state.
+   */
   @Test
   public void aFrozenOwnerThatWakesUpDoesNotClaimAgain() throws Exception {
     String name = "owner frozen";
@@ -108,12 +113,12 @@
     Answer first = client.ask(deployment.gatewayUrl(1), Calls.once(name, name));
     deployment.controller(owner).resume();
     assertTrue(first.whole() || first.ran().equals("not-run"), first.toString());
-    List<Answer> again = new ArrayList<>();
+    List<Answer> retries = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      again.add(client.ask(deployment.gatewayUrl(i % 2), Calls.once(name, name)));
+      retries.add(client.ask(deployment.gatewayUrl(i % 2), Calls.once(name, name)));
     }
-    long whole = again.stream().filter(Answer::whole).count() + (first.whole() ? 1 : 0);
-    assertEquals(whole, 1, first + " then " + again);
+    long whole = retries.stream().filter(Answer::whole).count() + (first.whole() ? 1 : 0);
+    assertEquals(whole, 1, first + ", answers to retries: " + retries);
     assertEquals(Calls.runs(deployment, name), 1);
   }
 
@@ -125,7 +130,10 @@
     return vms.indexOf(owner);
   }
 
-  /** While the platform is out nothing is run; the refusal is true and the key stays free. */
+  /**
+   * While the platform is unavailable, a request with a key is refused and does not run, as its
+   * error states. The key is not claimed, and works after the outage.
+   */
   @Test
   public void anOutageRefusesTrulyAndTheKeyWorksAfterwards() {
     String name = "platform out";
@@ -135,15 +143,16 @@
     assertEquals(refused.ran(), "not-run");
     assertEquals(Calls.runs(deployment, name), 0);
     Answer other = client.ask(deployment.gatewayUrl(0), Calls.ask("may be repeated", 4));
-    assertTrue(other.whole(), "requests without a claim go on: " + other);
+    assertTrue(
+        other.whole(), "a request that needs no claim failed during the platform outage: " + other);
     deployment.objectApi().faults().set("out", 0);
     Deployment.await(
-        "the key works again",
+        "a request with the key succeeds after the outage",
         () -> client.ask(deployment.gatewayUrl(1), Calls.once(name, name)).whole());
     assertEquals(Calls.runs(deployment, name), 1);
   }
 
-  /** An answer that is cut after the run must not lead to a second run. */
+  /** The server drops the connection after it ran the call; the gateway must not send it again. */
   @Test
   public void aCutPlainCallIsNotRepeated() throws Exception {
     deployment.plains().forEach(plain -> plain.faults().set("dropAfterRun", 1));
@@ -151,8 +160,8 @@
     PlainCaller.Reply reply = caller.post(Deployment.PORTAL, "app/book", "order-7", "order-7");
     assertEquals(reply.status(), 502);
     assertEquals(reply.kind(), "OUTCOME_UNKNOWN");
-    PlainCaller.Reply again = caller.post(Deployment.PORTAL, "app/book", "order-7", "order-7");
-    assertEquals(again.kind(), "DUPLICATE_KEY");
+    PlainCaller.Reply retry = caller.post(Deployment.PORTAL, "app/book", "order-7", "order-7");
+    assertEquals(retry.kind(), "DUPLICATE_KEY");
     int runs = 0;
     for (var plain : deployment.plains()) {
       plain.faults().set("dropAfterRun", 0);
--- a/bench/src/test/java/org/landingtrack/bench/CallerApiProcessTest.java
+++ b/bench/src/test/java/org/landingtrack/bench/CallerApiProcessTest.java
@@ -37,7 +37,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What callers get for good and for bad requests, over real processes. */
+/** Tests the answers to valid and invalid requests of callers, with real processes. */
 public final class CallerApiProcessTest {
   private static final MediaType JSON_TYPE = MediaType.get("application/json");
   private static final String GOOD =
@@ -241,7 +241,7 @@
     }
   }
 
-  /** The same prompt of two teams shares nothing: the second computes all of it. */
+  /** Two teams with the same prompt share no cached prefix: each computes all of it. */
   @Test
   public void teamsShareNoKeptState() {
     CallerClient client = Calls.client();
@@ -263,18 +263,21 @@
     assertEquals(caller.get("none", "app/list").kind(), "NOT_FOUND");
   }
 
-  /** A body that never ends is given up, and other callers do not notice. */
+  /**
+   * A request whose body never ends gets status 408 after a time limit; meanwhile another caller is
+   * served.
+   */
   @Test
   public void aSlowBodyIsGivenUp() throws Exception {
     int port = URI.create(deployment.gatewayUrl(0)).getPort();
     try (Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), port)) {
       OutputStream out = socket.getOutputStream();
-      String head =
+      String requestHead =
           "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 1000\r\n"
               + "Authorization: Bearer "
               + DeploymentPlan.teamKey("quotes")
               + "\r\n\r\n{";
-      out.write(head.getBytes(StandardCharsets.US_ASCII));
+      out.write(requestHead.getBytes(StandardCharsets.US_ASCII));
       out.flush();
       Answer other = Calls.client().ask(deployment.gatewayUrl(0), Calls.ask("meanwhile", 2));
       assertTrue(other.whole(), other.toString());
@@ -289,7 +292,7 @@
     for (int controller = 0; controller < 2; controller++) {
       int index = controller;
       Deployment.await(
-          "controller " + controller + " explains it",
+          "controller " + controller + " explains the request",
           () -> deployment.ctl(index, "explain", answer.requestId()).code() == 0);
       String text = deployment.ctl(index, "explain", answer.requestId()).text();
       assertTrue(text.contains("Team quotes asked service llm."), text);
--- a/bench/src/test/java/org/landingtrack/bench/Calls.java
+++ b/bench/src/test/java/org/landingtrack/bench/Calls.java
@@ -28,7 +28,7 @@
 import org.landingtrack.bench.CallerClient.Ask;
 import org.landingtrack.standins.EngineServer;
 
-/** What several tests over processes share. */
+/** Requests and assertions that the process tests share. */
 final class Calls {
   static final String TEAM = "quotes";
   private static final long DEADLINE_MS = 30_000;
@@ -67,14 +67,14 @@
         key);
   }
 
-  /** Runs tasks at the same time and returns their results in order. */
+  /** Runs tasks concurrently, each on a thread of its own; returns their results in order. */
   static <T> List<T> together(int count, IntFunction<T> task) throws Exception {
-    ExecutorService threads = Executors.newFixedThreadPool(count);
+    ExecutorService executor = Executors.newFixedThreadPool(count);
     try {
       List<Future<T>> futures = new ArrayList<>();
       for (int i = 0; i < count; i++) {
         int index = i;
-        futures.add(threads.submit(() -> task.apply(index)));
+        futures.add(executor.submit(() -> task.apply(index)));
       }
       List<T> results = new ArrayList<>();
       for (Future<T> future : futures) {
@@ -82,17 +82,17 @@
       }
       return results;
     } finally {
-      threads.shutdownNow();
+      executor.shutdownNow();
     }
   }
 
-  /** Checks that an answer is whole and is the one to its own question, token by token. */
-  static void assertOwnAndWhole(Ask ask, Answer answer, String weightVersion) {
-    assertTrue(answer.whole(), ask.question() + ": " + answer);
-    assertEquals(answer.text(), CallerClient.expected(ask, weightVersion));
+  /** Asserts that an answer is complete and is the one to its own question, token by token. */
+  static void assertOwnAndWhole(Ask prompt, Answer answer, String weightVersion) {
+    assertTrue(answer.whole(), prompt.question() + ": " + answer);
+    assertEquals(answer.text(), CallerClient.expected(prompt, weightVersion));
   }
 
-  /** Returns how often a question ran on all engines together. */
+  /** Returns how often a question ran, summed over all engines. */
   static int runs(Deployment deployment, String question) {
     int runs = 0;
     for (EngineServer engine : deployment.engines()) {
--- a/bench/src/test/java/org/landingtrack/bench/ConfigProcessTest.java
+++ b/bench/src/test/java/org/landingtrack/bench/ConfigProcessTest.java
@@ -31,7 +31,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** An accepted configuration comes into force everywhere and never reverts. */
+/** An accepted configuration change takes effect on every process and is never reverted. */
 public final class ConfigProcessTest {
   private Deployment deployment;
 
@@ -48,14 +48,14 @@
     }
   }
 
-  /** Sets a number in a model that nothing depends on. */
+  /** Writes a model that nothing depends on, with a number by which its version is recognized. */
   private Deployment.CtlResult put(int controller, String name, int tokens) throws Exception {
-    ObjectNode file = Json.LENIENT.createObjectNode();
-    ObjectNode object = file.putArray("objects").addObject();
+    ObjectNode document = Json.LENIENT.createObjectNode();
+    ObjectNode object = document.putArray("objects").addObject();
     object.put("kind", "model").put("name", name);
     object.putObject("spec").put("contextTokens", tokens).put("kvBytesPerToken", 1);
     Path path = deployment.folder().resolve(name + "-" + tokens + ".json");
-    Files.writeString(path, file.toString());
+    Files.writeString(path, document.toString());
     return deployment.ctl(controller, "--wait", "30", "--output", "json", "apply", path.toString());
   }
 
@@ -69,7 +69,7 @@
   private void awaitEverywhere(String name, int tokens) {
     for (int c = 0; c < deployment.controllerCount(); c++) {
       int index = c;
-      Deployment.await("controller " + c + " has it", () -> seenBy(index, name) == tokens);
+      Deployment.await("controller " + c + " has the change", () -> seenBy(index, name) == tokens);
     }
   }
 
@@ -103,7 +103,7 @@
   @DataProvider
   public Object[][] platformTroubles() {
     return new Object[][] {
-      // faults of the Object API, fault of the VM list
+      // faults of the Object API, fault of the VM list (empty for none)
       {Map.of("slowMs", 400.0), ""},
       {Map.of("tooOld", 6.0), ""},
       {Map.of("slowMs", 200.0, "lostAnswers", 2.0), ""},
@@ -112,7 +112,10 @@
     };
   }
 
-  /** A slow platform, watches that fell behind and a VM list that is out delay a change at most. */
+  /**
+   * A slow platform, expired watches (answer: too old) and an unavailable VM list may delay a
+   * change, but do not lose it.
+   */
   @Test(dataProvider = "platformTroubles")
   public void aTroubledPlatformLosesNoChange(Map<String, Double> faults, String vmListFault)
       throws Exception {
@@ -153,11 +156,14 @@
       assertTrue(result.code() == 0 || result.text().contains("VERSION_CONFLICT"), result.text());
     }
     Deployment.await(
-        "the trail holds every accepted change",
+        "the audit trail contains every accepted change",
         () -> deployment.ctl(2, "audit", "model", "raced").text().lines().count() == accepted + 1);
   }
 
-  /** Restarts during an outage start from peers, and nobody falls back to older content. */
+  /**
+   * Processes that restart while the platform is unavailable get the configuration from their
+   * peers, and none goes back to an older one.
+   */
   @Test
   public void restartsDuringAnOutageKeepTheNewestConfiguration() throws Exception {
     put(0, "outage", 1);
@@ -167,7 +173,9 @@
     for (int i = 0; i < 2; i++) {
       deployment.restartController(i);
       int index = i;
-      Deployment.await("it has it from its peers", () -> seenBy(index, "outage") == 2);
+      Deployment.await(
+          "the restarted controller has the newest change from its peers",
+          () -> seenBy(index, "outage") == 2);
     }
     deployment.restartGateway(0);
     deployment.awaitReady(0);
@@ -178,7 +186,7 @@
     assertTrue(refused.text().contains("PLATFORM_UNAVAILABLE"), refused.text());
     deployment.objectApi().faults().set("out", 0);
     Deployment.await(
-        "changes work again",
+        "changes are accepted after the outage",
         () -> {
           try {
             return put(3, "outage", 4).code() == 0;
@@ -189,7 +197,10 @@
     awaitEverywhere("outage", 4);
   }
 
-  /** A controller that was frozen through some changes catches up and never answers older again. */
+  /**
+   * A controller that was suspended during some changes catches up after it resumes, and never
+   * answers with an older version than before.
+   */
   @Test
   public void aFrozenControllerCatchesUp() throws Exception {
     put(0, "frozen", 1);
@@ -202,7 +213,7 @@
     int last = 0;
     while (last < 4) {
       int seen = seenBy(3, "frozen");
-      assertTrue(seen >= last, "reverted from " + last + " to " + seen);
+      assertTrue(seen >= last, "contextTokens reverted from " + last + " to " + seen);
       last = Math.max(last, seen);
     }
   }
--- a/bench/src/test/java/org/landingtrack/bench/DataCentreProcessTest.java
+++ b/bench/src/test/java/org/landingtrack/bench/DataCentreProcessTest.java
@@ -26,7 +26,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Two data centres with two VMs and two engines each; then one of them is lost. */
+/** Two data centres with two VMs and two engines each; the second test stops one of them. */
 public final class DataCentreProcessTest {
   private static final int VMS = 4;
 
@@ -63,7 +63,7 @@
     deployment.awaitInForce(1);
   }
 
-  /** All VMs and engines with even numbers are in the first data centre. */
+  /** Stops all VMs and engines with an even index: these are in the first data centre. */
   @Test(dependsOnMethods = "eachDataCentreServesAndSharesTheConfiguration")
   public void theOtherDataCentreGoesOnWhenOneIsLost() {
     List<EngineServer> engines = deployment.engines();
@@ -82,7 +82,7 @@
     }
     assertEquals(deployment.ctl(1, "load", "llm", "v2").code(), 0);
     Deployment.await(
-        "the engines that are left have the new weights",
+        "the engines of the other data centre have weights v2",
         () ->
             engines.get(1).weightVersion().equals("v2")
                 && engines.get(3).weightVersion().equals("v2"));
--- a/bench/src/test/java/org/landingtrack/bench/KeptStateProcessTest.java
+++ b/bench/src/test/java/org/landingtrack/bench/KeptStateProcessTest.java
@@ -27,7 +27,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Kept state across long gaps, while store VMs fail in every way. */
+/** Restores of KV cache blocks from store VMs after long gaps, while the store VMs fail. */
 public final class KeptStateProcessTest {
   private static final String HANDBOOK = "rule of the shared handbook ".repeat(1_500);
 
@@ -46,18 +46,18 @@
   }
 
   private static Answer ask(Deployment deployment, String question) {
-    Ask ask = Calls.ask(Calls.TEAM, HANDBOOK, question, 4);
-    Answer answer = Calls.client().ask(deployment.gatewayUrl(0), ask);
-    Calls.assertOwnAndWhole(ask, answer, "v1");
+    Ask prompt = Calls.ask(Calls.TEAM, HANDBOOK, question, 4);
+    Answer answer = Calls.client().ask(deployment.gatewayUrl(0), prompt);
+    Calls.assertOwnAndWhole(prompt, answer, "v1");
     return answer;
   }
 
-  /** Other prompts push the handbook out of both engines' memory. */
+  /** Evicts the handbook from the engine's prefix cache with other long prompts. */
   private static void forget(Deployment deployment, int round) {
     for (int i = 0; i < 5; i++) {
       String other = ("other text " + round + " " + i + " ").repeat(3_000);
-      Ask ask = Calls.ask(Calls.TEAM, other, "push out", 1);
-      Answer answer = Calls.client().ask(deployment.gatewayUrl(i % 2), ask);
+      Ask prompt = Calls.ask(Calls.TEAM, other, "push out", 1);
+      Answer answer = Calls.client().ask(deployment.gatewayUrl(i % 2), prompt);
       assertTrue(answer.whole(), answer.toString());
     }
   }
@@ -67,21 +67,22 @@
     try (Deployment deployment = start(2)) {
       ask(deployment, "first");
       ask(deployment, "second");
-      Deployment.await("it was exported", () -> manifests(deployment) > 0);
+      Deployment.await("a KV cache export was stored", () -> manifests(deployment) > 0);
       Deployment.await(
-          "it comes back from a store VM",
+          "the prompt's KV cache is restored from a store VM",
           () -> {
             forget(deployment, manifests(deployment));
             Answer answer = ask(deployment, "third");
-            String why = explain(deployment, answer);
-            return why.contains("Restored") && answer.cachedTokens() > 0;
+            String explanation = explain(deployment, answer);
+            return explanation.contains("Restored") && answer.cachedTokens() > 0;
           });
     }
   }
 
   private static String explain(Deployment deployment, Answer answer) {
     Deployment.await(
-        "it is explained", () -> deployment.ctl(0, "explain", answer.requestId()).code() == 0);
+        "controller 0 explains the request",
+        () -> deployment.ctl(0, "explain", answer.requestId()).code() == 0);
     return deployment.ctl(0, "explain", answer.requestId()).text();
   }
 
@@ -98,7 +99,7 @@
     };
   }
 
-  /** Whatever a store VM does, no answer is made from a broken block: each is right and whole. */
+  /** With a faulty store VM every answer is complete and correct: no corrupt block is used. */
   @Test(dataProvider = "faults")
   public void aFailingStoreCostsTimeButNeverAnAnswer(List<String> faults, double value) {
     try (Deployment deployment = start(1)) {
@@ -115,7 +116,10 @@
     }
   }
 
-  /** Checks the check: with the reader's checks switched off the same fault is seen to do harm. */
+  /**
+   * Proves that {@link #aFailingStoreCostsTimeButNeverAnAnswer} can fail: when the engines skip the
+   * checks of the blocks that they read, the same fault makes them use a corrupt block.
+   */
   @Test
   public void withoutTheReadersChecksABrokenBlockIsUsed() {
     try (Deployment deployment = start(1)) {
@@ -123,9 +127,9 @@
       deployment.engines().forEach(engine -> engine.faults().set("skipChecks", 1));
       ask(deployment, "first");
       ask(deployment, "second");
-      Deployment.await("it was exported", () -> manifests(deployment) > 0);
+      Deployment.await("a KV cache export was stored", () -> manifests(deployment) > 0);
       Deployment.await(
-          "a broken block is used",
+          "an engine used a corrupt block",
           () -> {
             forget(deployment, manifests(deployment));
             ask(deployment, "third");
@@ -151,7 +155,7 @@
     try (Deployment deployment = start(1)) {
       ask(deployment, "first");
       ask(deployment, "second");
-      Deployment.await("it was exported", () -> manifests(deployment) > 0);
+      Deployment.await("a KV cache export was stored", () -> manifests(deployment) > 0);
       deployment.stores().get(0).close();
       forget(deployment, 1);
       ask(deployment, "third");
--- a/bench/src/test/java/org/landingtrack/bench/KillDrillTest.java
+++ b/bench/src/test/java/org/landingtrack/bench/KillDrillTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A short drill; {@code bench faults} runs longer ones. */
+/** Short runs of {@link KillDrill}; the command {@code bench faults} runs longer ones. */
 public final class KillDrillTest {
   @DataProvider
   public Object[][] seeds() {
--- a/bench/src/test/java/org/landingtrack/bench/StopAndDrainProcessTest.java
+++ b/bench/src/test/java/org/landingtrack/bench/StopAndDrainProcessTest.java
@@ -33,7 +33,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A planned stop cuts no request; a leaving backend server gets nothing new. */
+/** A graceful stop interrupts no request; a leaving backend server gets no new requests. */
 public final class StopAndDrainProcessTest {
   private static final int TOKENS = 40;
 
@@ -57,18 +57,18 @@
     }
   }
 
-  private List<Future<Answer>> launch(ExecutorService threads, int count, int gateway) {
+  private List<Future<Answer>> launch(ExecutorService executor, int count, int gateway) {
     List<Future<Answer>> running = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      Ask ask = Calls.ask("running " + i, TOKENS);
-      running.add(threads.submit(() -> client.ask(deployment.gatewayUrl(gateway), ask)));
+      Ask prompt = Calls.ask("running " + i, TOKENS);
+      running.add(executor.submit(() -> client.ask(deployment.gatewayUrl(gateway), prompt)));
     }
     return running;
   }
 
   private void awaitRunning(int count) {
     Deployment.await(
-        "all run",
+        "all requests run",
         () -> {
           int runs = 0;
           for (EngineServer engine : deployment.engines()) {
@@ -80,12 +80,12 @@
 
   @Test
   public void aStoppingGatewayFinishesItsStreamsAndExitsWithZero() throws Exception {
-    ExecutorService threads = Executors.newCachedThreadPool();
-    List<Future<Answer>> running = launch(threads, 10, 0);
+    ExecutorService executor = Executors.newCachedThreadPool();
+    List<Future<Answer>> running = launch(executor, 10, 0);
     awaitRunning(10);
-    Future<Integer> code = threads.submit(() -> deployment.gateway(0).stop());
+    Future<Integer> code = executor.submit(() -> deployment.gateway(0).stop());
     Deployment.await(
-        "it refuses new work",
+        "the stopping gateway refuses new requests",
         () -> {
           Answer refused = client.ask(deployment.gatewayUrl(0), Calls.ask("new work", 2));
           return refused.kind().equals("STOPPING") || refused.status() == 0;
@@ -95,22 +95,23 @@
       Calls.assertOwnAndWhole(Calls.ask("running " + i, TOKENS), answer, "v1");
     }
     assertEquals((int) code.get(60, TimeUnit.SECONDS), 0);
-    threads.shutdownNow();
+    executor.shutdownNow();
   }
 
   @Test
   public void aStoppingControllerCutsNothing() throws Exception {
-    ExecutorService threads = Executors.newCachedThreadPool();
-    List<Future<Answer>> running = launch(threads, 10, 0);
+    ExecutorService executor = Executors.newCachedThreadPool();
+    List<Future<Answer>> running = launch(executor, 10, 0);
     awaitRunning(10);
     assertEquals(deployment.controller(0).stop(), 0);
-    Answer during = client.ask(deployment.gatewayUrl(0), Calls.ask("without its controller", 4));
-    assertTrue(during.whole(), during.toString());
+    Answer whileStopped =
+        client.ask(deployment.gatewayUrl(0), Calls.ask("without its controller", 4));
+    assertTrue(whileStopped.whole(), whileStopped.toString());
     for (int i = 0; i < running.size(); i++) {
       Answer answer = running.get(i).get(60, TimeUnit.SECONDS);
       Calls.assertOwnAndWhole(Calls.ask("running " + i, TOKENS), answer, "v1");
     }
-    threads.shutdownNow();
+    executor.shutdownNow();
   }
 
   private enum Signal {
@@ -134,8 +135,8 @@
 
   @Test(dataProvider = "signals")
   public void aLeavingServerGetsNothingNewAndFinishesWhatItHas(Signal signal) throws Exception {
-    ExecutorService threads = Executors.newCachedThreadPool();
-    List<Future<Answer>> running = launch(threads, 9, 1);
+    ExecutorService executor = Executors.newCachedThreadPool();
+    List<Future<Answer>> running = launch(executor, 9, 1);
     awaitRunning(9);
     EngineServer leaving = deployment.engines().get(0);
     send(signal, leaving);
@@ -144,12 +145,12 @@
       Answer answer = client.ask(deployment.gatewayUrl(1), Calls.ask("after " + i, 2));
       assertTrue(answer.whole(), answer.toString());
     }
-    assertEquals(total(leaving), before, "new work on the leaving server");
+    assertEquals(total(leaving), before, "the leaving server got new requests");
     for (int i = 0; i < running.size(); i++) {
       Answer answer = running.get(i).get(60, TimeUnit.SECONDS);
       Calls.assertOwnAndWhole(Calls.ask("running " + i, TOKENS), answer, "v1");
     }
-    threads.shutdownNow();
+    executor.shutdownNow();
   }
 
   private void send(Signal signal, EngineServer leaving) {
@@ -177,7 +178,9 @@
     deployment.listVms(List.of("engine-0"));
     for (int i = 0; i < deployment.gatewayCount(); i++) {
       String url = deployment.gatewayUrl(i);
-      Deployment.await("it is known", () -> deployment.metric(url, "leaving_servers") == 1);
+      Deployment.await(
+          "a gateway counts one leaving server",
+          () -> deployment.metric(url, "leaving_servers") == 1);
     }
   }
 
--- a/bench/src/test/java/org/landingtrack/bench/TeamShareProcessTest.java
+++ b/bench/src/test/java/org/landingtrack/bench/TeamShareProcessTest.java
@@ -28,7 +28,10 @@
 import org.landingtrack.bench.CallerClient.Answer;
 import org.testng.annotations.Test;
 
-/** A team whose callers come through one VM gets more than an equal share of its limit there. */
+/**
+ * A team whose callers all use one VM gets more than an equal share of its rate limit there, and an
+ * equal share again when no controller is left.
+ */
 public final class TeamShareProcessTest {
   private static final int GATEWAYS = 3;
   private static final int RATE = 30;
@@ -43,27 +46,33 @@
             .setTeamRate(RATE)
             .build();
     AtomicBoolean stop = new AtomicBoolean();
-    ExecutorService threads = Executors.newCachedThreadPool();
+    ExecutorService executor = Executors.newCachedThreadPool();
     try (Deployment deployment = Deployment.start(plan)) {
       List<Future<?>> callers = new ArrayList<>();
       for (int i = 0; i < 4; i++) {
-        callers.add(threads.submit(() -> askUntil(deployment, stop)));
+        callers.add(executor.submit(() -> askUntil(deployment, stop)));
       }
       String gateway = deployment.gatewayUrl(0);
-      Deployment.await("more than an equal share", () -> deployment.metric(gateway, SHARE) > 0.5);
+      Deployment.await(
+          "the gateway's share is more than an equal one",
+          () -> deployment.metric(gateway, SHARE) > 0.5);
       for (int i = 0; i < GATEWAYS; i++) {
         deployment.controller(i).kill();
       }
-      Deployment.await("an equal share again", () -> deployment.metric(gateway, SHARE) < 0);
+      Deployment.await(
+          "the gateway has no share from the controllers any more",
+          () -> deployment.metric(gateway, SHARE) < 0);
       stop.set(true);
       for (Future<?> caller : callers) {
         caller.get(60, TimeUnit.SECONDS);
       }
-      threads.shutdown();
+      executor.shutdown();
     }
   }
 
-  /** Every answer is whole or a true refusal by the team's rate. */
+  /**
+   * Sends requests; each answer must be complete or a refusal by the team's rate limit, not run.
+   */
   private static void askUntil(Deployment deployment, AtomicBoolean stop) {
     CallerClient client = Calls.client();
     for (int i = 0; !stop.get(); i++) {
--- a/bench/src/test/java/org/landingtrack/bench/TlsProcessTest.java
+++ b/bench/src/test/java/org/landingtrack/bench/TlsProcessTest.java
@@ -33,7 +33,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The whole path with TLS between processes and towards operators. */
+/** TLS between processes and from operators to controllers, with certificate renewal. */
 public final class TlsProcessTest {
   private static final int RENEWED_DAYS = 20;
 
@@ -55,7 +55,7 @@
   @DataProvider
   public Object[][] operators() {
     return new Object[][] {
-      // authority that the operator believes; empty for no TLS; exit code
+      // certificate authority that the operator trusts (empty: no TLS), exit code
       {"authority", 0},
       {"foreign", 1},
       {"", 1},
@@ -73,17 +73,17 @@
     assertEquals(result.code(), code, result.text());
   }
 
-  /** Certificates are replaced one process after another while callers ask. */
+  /** Certificates are replaced one process after another, while callers send requests. */
   @Test
   public void aRenewalUnderLoadCutsNothing() throws Exception {
     AtomicBoolean stop = new AtomicBoolean();
-    ExecutorService threads = Executors.newCachedThreadPool();
+    ExecutorService executor = Executors.newCachedThreadPool();
     List<Future<Integer>> callers = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       int caller = i;
-      callers.add(threads.submit(() -> callUntil(caller, stop)));
+      callers.add(executor.submit(() -> callUntil(caller, stop)));
     }
-    double before = expiry(deployment.controllerUrl(0));
+    double expiryBefore = expiry(deployment.controllerUrl(0));
     for (int i = 0; i < 2; i++) {
       deployment.renewCertificate("controller", i, RENEWED_DAYS);
       deployment.renewCertificate("gateway", i, RENEWED_DAYS);
@@ -91,7 +91,8 @@
     for (int i = 0; i < 2; i++) {
       String controller = deployment.controllerUrl(i);
       String gateway = deployment.gatewayUrl(i);
-      Deployment.await("renewed", () -> expiry(controller) > before && expiry(gateway) > before);
+      Deployment.await(
+          "renewed", () -> expiry(controller) > expiryBefore && expiry(gateway) > expiryBefore);
     }
     deployment.restartController(1);
     assertEquals(deployment.ctl(0, "drain", "engine-0").code(), 0);
@@ -101,7 +102,7 @@
     for (Future<Integer> caller : callers) {
       answered += caller.get(60, TimeUnit.SECONDS);
     }
-    threads.shutdownNow();
+    executor.shutdownNow();
     assertTrue(answered > 0);
   }
 
@@ -113,8 +114,8 @@
     CallerClient client = Calls.client();
     int answered = 0;
     while (!stop.get()) {
-      Ask ask = Calls.ask(Calls.TEAM, "short", "tls " + caller + " " + answered, 4);
-      Answer answer = client.ask(deployment.gatewayUrl(caller % 2), ask);
+      Ask prompt = Calls.ask(Calls.TEAM, "short", "tls " + caller + " " + answered, 4);
+      Answer answer = client.ask(deployment.gatewayUrl(caller % 2), prompt);
       assertTrue(answer.whole(), answer.toString());
       answered++;
     }
--- a/bench/src/test/java/org/landingtrack/bench/WeightSwapProcessTest.java
+++ b/bench/src/test/java/org/landingtrack/bench/WeightSwapProcessTest.java
@@ -33,7 +33,8 @@
 import org.testng.annotations.Test;
 
 /**
- * A swap of weights under load: no block crosses versions, no request is cut, loads are rationed.
+ * A change of weights under load: no KV cache block is used with another version of the weights, no
+ * request is interrupted, and the number of concurrent loads of weights is limited.
  */
 public final class WeightSwapProcessTest {
   private enum Fault {
@@ -64,18 +65,18 @@
             .build();
     try (Deployment deployment = Deployment.start(plan)) {
       AtomicBoolean stop = new AtomicBoolean();
-      ExecutorService threads = Executors.newCachedThreadPool();
+      ExecutorService executor = Executors.newCachedThreadPool();
       List<Future<Integer>> callers = new ArrayList<>();
       for (int i = 0; i < 6; i++) {
         int caller = i;
-        callers.add(threads.submit(() -> callUntil(deployment, caller, stop)));
+        callers.add(executor.submit(() -> callUntil(deployment, caller, stop)));
       }
       Deployment.await("a controller holds the lease", () -> holder(deployment) >= 0);
       int holder = holder(deployment);
       assertEquals(deployment.ctl((holder + 1) % 3, "load", "llm", "v2").code(), 0);
-      Deployment.await("the swap began", () -> withVersion(deployment, "v2") > 0);
+      Deployment.await("an engine has weights v2", () -> withVersion(deployment, "v2") > 0);
       disturb(deployment, fault, holder);
-      Deployment.await("all have v2", () -> withVersion(deployment, "v2") == 8);
+      Deployment.await("all engines have weights v2", () -> withVersion(deployment, "v2") == 8);
       stop.set(true);
       int answered = 0;
       for (Future<Integer> caller : callers) {
@@ -86,8 +87,9 @@
         assertEquals(engine.versionViolations(), 0);
         assertEquals(engine.staleOrders(), 0);
       }
-      assertTrue(deployment.weightStore().most() <= 3, "loads at once");
-      threads.shutdownNow();
+      assertTrue(
+          deployment.weightStore().most() <= 3, "more than 3 engines loaded weights at once");
+      executor.shutdownNow();
     }
   }
 
@@ -98,13 +100,13 @@
       case HOLDER_KILLED -> deployment.controller(holder).kill();
       case HOLDER_FROZEN -> {
         deployment.controller(holder).freeze();
-        Deployment.await("all have v2", () -> withVersion(deployment, "v2") == 8);
+        Deployment.await("all engines have weights v2", () -> withVersion(deployment, "v2") == 8);
         deployment.controller(holder).resume();
       }
     }
   }
 
-  /** Returns the controller that holds the lease for weights; -1 if nobody does. */
+  /** Returns the index of the controller that holds the lease for weights; -1 if none does. */
   private static int holder(Deployment deployment) {
     return deployment
         .objectApi()
@@ -124,19 +126,21 @@
     return count;
   }
 
-  /** Calls one after another; every answer must be whole and of one version from end to end. */
+  /**
+   * Sends requests one by one; each answer must be complete and from one version of the weights.
+   */
   private static int callUntil(Deployment deployment, int caller, AtomicBoolean stop) {
     CallerClient client = Calls.client();
     String system = "handbook of caller " + caller + " ".repeat(8_000);
     int answered = 0;
     while (!stop.get()) {
-      Ask ask = Calls.ask(Calls.TEAM, system, "swap " + caller + " " + answered, 20);
-      Answer answer = client.ask(deployment.gatewayUrl(caller % 2), ask);
+      Ask prompt = Calls.ask(Calls.TEAM, system, "swap " + caller + " " + answered, 20);
+      Answer answer = client.ask(deployment.gatewayUrl(caller % 2), prompt);
       assertTrue(answer.whole(), answer.toString());
-      boolean one =
-          answer.text().equals(CallerClient.expected(ask, "v1"))
-              || answer.text().equals(CallerClient.expected(ask, "v2"));
-      assertTrue(one, "versions are mixed: " + answer.text());
+      boolean singleVersion =
+          answer.text().equals(CallerClient.expected(prompt, "v1"))
+              || answer.text().equals(CallerClient.expected(prompt, "v2"));
+      assertTrue(singleVersion, "the answer mixes versions of the weights: " + answer.text());
       answered++;
     }
     return answered;
