--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/AdmissionGate.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/AdmissionGate.java
@@ -160,7 +160,10 @@
     return state.servers().usable(service, each -> true, false);
   }
 
-  /** Returns this VM's part of the requests that servers have beyond their slots or KV cache. */
+  /**
+   * Returns how many of this VM's requests exceed the slots or the KV cache of the servers to which
+   * they were sent.
+   */
   private long queued(String service) {
     ServiceInfo info = info(service);
     if (info == null) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Attempt.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Attempt.java
@@ -25,7 +25,7 @@
 import org.landingtrack.internal.serving.ServerChooser.Choice;
 
 /**
- * One attempt to run a request at one backend server. It keeps the counts of work under way at the
+ * One attempt to run a request at one backend server. It keeps the counts of work in flight at the
  * server up to date, and reports the outcome to its {@link Outcome} until it is over or cancelled.
  * Used on the event loop only.
  */
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Backend.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Backend.java
@@ -109,7 +109,7 @@
     return listedRevision;
   }
 
-  /** Returns the hash of the id, by which prompts are placed on their preferred server. */
+  /** Returns the hash of the id, by which each prompt is assigned to its affinity server. */
   long idHash() {
     return idHash;
   }
@@ -202,12 +202,12 @@
     return coldUntilMs == Long.MIN_VALUE ? 0 : coldUntilMs - nowMs;
   }
 
-  /** Returns this VM's sends per time slot to the server while it was cold. */
+  /** Returns this VM's attempts per time slot at the server while it was cold. */
   DrawnSlots.Used coldSends() {
     return coldSends;
   }
 
-  /** Returns this VM's sends per time slot to the server while it had a limit. */
+  /** Returns this VM's attempts per time slot at the server while it had a limit. */
   DrawnSlots.Used limitedSends() {
     return limitedSends;
   }
@@ -276,7 +276,7 @@
 
   /**
    * Notes that the server refused because it has newer weights than known; {@code newest} is the
-   * newest announced version.
+   * newest published version.
    */
   void refusedWeights(String model, long newest) {
     if (weights(model) < newest) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/BackendHealth.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/BackendHealth.java
@@ -24,7 +24,7 @@
 import org.landingtrack.internal.serving.ServerChooser.Choice;
 
 /**
- * Reports the outcomes of sends to the shared health data and says which backend servers are
+ * Reports the outcomes of attempts to the shared health data, and tells which backend servers are
  * ejected by it. Does nothing if operators disabled shared health. Not thread-safe; used on the
  * event loop only.
  */
@@ -143,7 +143,7 @@
     }
   }
 
-  /** Notes that no further outcome of a send will arrive. */
+  /** Notes that no further outcome of an attempt will arrive. */
   void over(Attempt attempt) {
     if (shared != null) {
       shared.over(attempt);
@@ -156,8 +156,8 @@
   }
 
   /**
-   * Returns true if a request may be used to probe an ejected server: it can be sent again in time,
-   * and nothing is lost if the probe fails.
+   * Returns true if a request may be used to probe an ejected server: if the probe fails, it can
+   * still be retried in time and loses nothing.
    */
   boolean suits(CallerRequest request, Route route, String service, SendHistory history) {
     long ageMs = loop.millis() - request.receivedAtMs();
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/BackendTransport.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/BackendTransport.java
@@ -40,7 +40,7 @@
   /**
    * One attempt to run a request at one backend server.
    *
-   * @param serverId the server instance that is meant; any other one refuses the call
+   * @param serverId the server incarnation that is meant; any other one refuses the call
    * @param leftMs the time until the deadline, which the server is given
    * @param team the name of the team that owns the caller's key, or null
    * @param priority the priority, 0 being the most urgent; -1 to leave it to the server
@@ -49,8 +49,8 @@
    * @param moves the parts of the prompt that the server fetches and saves
    * @param weightVersion the version of the weights that the server must have, or empty
    * @param resumeAfter the id of the last event that the caller already has, or null
-   * @param mayStillGo checked once the connection is open, right before the call is written; false
-   *     to recall it
+   * @param mayStillGo checked once the connection is open, right before the call is written; the
+   *     call is withdrawn if it returns false
    */
   record BackendCall(
       CallerRequest request,
@@ -66,7 +66,7 @@
       @Nullable String resumeAfter,
       BooleanSupplier mayStillGo) {}
 
-  /** A handle of a call under way. */
+  /** A handle of a call in flight. */
   @FunctionalInterface
   interface Exchange {
     /** Cancels the call by closing its connection. The listener is not called any more. */
@@ -79,9 +79,9 @@
     NO_CONNECTION,
     /** The server had no capacity, or the deadline passed in its queue. */
     FULL,
-    /** Another instance of the server, or another server, has the address. */
+    /** Another incarnation of the server, or another server, has the address. */
     OTHER_SERVER,
-    /** Before anything was sent, the server asked for fewer requests or a rest. */
+    /** Before anything was sent, the server asked for fewer requests or a backoff. */
     RECALLED,
     /** The server has other weights. */
     OTHER_VERSION,
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/BoundedDecisionLog.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/BoundedDecisionLog.java
@@ -42,8 +42,7 @@
   static final int REQUESTS_A_SECOND = 100;
 
   /**
-   * Log lines per second about statements of servers, which may differ in each response of a
-   * server.
+   * Log lines per second about notices of servers, which may differ in each response of a server.
    */
   static final int NOTICES_A_SECOND = 50;
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerAnswer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerAnswer.java
@@ -41,7 +41,8 @@
   }
 
   /**
-   * Returns true if the head of a stream was sent to the caller, so that no other status can be.
+   * Returns true if the head of a stream was sent to the caller, after which no other status can be
+   * sent.
    */
   boolean hasBegunStream() {
     return streamBegun;
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerRequest.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerRequest.java
@@ -21,7 +21,7 @@
 /**
  * A complete request of a caller, with its body.
  *
- * @param id the id of the request; a new one each time the caller sends it
+ * @param id the id of the request; a retry of the caller has a new id
  * @param target the path and query, unchanged
  * @param headers the headers that are forwarded unchanged
  * @param deadlineMs how long the caller waits, from {@code receivedAtMs}; 0 if not given
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/DecisionLog.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/DecisionLog.java
@@ -47,7 +47,7 @@
    * @param weights the weight version that the server must have, or 0 if it does not matter
    * @param newestWeights the newest known weight version, or 0
    * @param newestForMs the time since that version was published
-   * @param configVersion the version of the configuration that named the service
+   * @param configVersion the version of the configuration that the decision is based on
    */
   record RouteFacts(
       String server,
@@ -74,7 +74,7 @@
   /**
    * Called when an attempt ends without a response and the server may have run the request, or may
    * have crashed while running it. The log line includes the request's digest, which identifies the
-   * request when its caller sends it again.
+   * request when its caller retries it.
    */
   void brokeOff(RequestRun run, String server, String outcome, String why);
 
@@ -91,11 +91,12 @@
   void server(String change, ServerEntry entry, long revision);
 
   /**
-   * Called when a server states in a response that it wants fewer, no or again all requests.
+   * Called when a server states in a response that it sets or lifts a rate limit, asks for a
+   * backoff, or is leaving, and when its notice cannot be read.
    *
-   * @param change what it states, or that it no longer states it
+   * @param change what it states, as written to the log
    * @param limitPerSecond the rate limit that it sets, in requests per second, or 0
-   * @param restMs the pause that it requests, or 0
+   * @param restMs the backoff that it asks for, in milliseconds, or 0
    */
   void noticed(ServerEntry server, String change, double limitPerSecond, long restMs);
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/DrawnSlots.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/DrawnSlots.java
@@ -35,7 +35,8 @@
   private static final double LEAST_DEMAND = 1.0 / 32;
 
   /**
-   * Usage of one server's slots: the sends in the last slot that had any, and the recent demand.
+   * Usage of one server's slots: the requests sent in the last slot that had any, and the recent
+   * demand.
    */
   static final class Used {
     private long slot = Long.MIN_VALUE;
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/EndedStarts.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/EndedStarts.java
@@ -24,17 +24,20 @@
 import org.landingtrack.internal.loads.TallyTopic;
 
 /**
- * Server incarnations that have ended while their entries remain, as found by another incarnation
- * answering at their address. VMs report such incarnations to each other; otherwise each VM would
- * waste a send of a request on each of these servers. An entry disappears within seconds of the
- * end, and the reports stop after that. Costs nothing while no server ended, and 11 bytes per
- * incarnation in each message otherwise. Used on the event loop only.
+ * Server incarnations that have ended although their entries remain. A VM notices this when another
+ * incarnation answers at the address. VMs report such incarnations to each other; otherwise each VM
+ * would waste an attempt of a request on each of these servers. An entry disappears within seconds
+ * of the end, and the reports stop after that. Costs nothing while no server ended, and 11 bytes
+ * per incarnation in each message otherwise. Used on the event loop only.
  */
 final class EndedStarts {
   /** How long an ended incarnation is reported, which is longer than its entry remains. */
   static final long TOLD_MS = 6_000;
 
-  /** Bound of remembered incarnations. No deployment planned for has more that end at once. */
+  /**
+   * Maximum number of remembered incarnations; more are not expected to end at once in any planned
+   * deployment.
+   */
   private static final int MAX_KEPT = 1_024;
 
   private final EventLoop loop;
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/EngineAdmission.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/EngineAdmission.java
@@ -26,11 +26,11 @@
 final class EngineAdmission {
   /**
    * Maximum expected wait at the engine, in milliseconds. Fetches must end within {@link
-   * PartStore#BELIEF_MS} after the send, and take some hundred milliseconds of that.
+   * PartStore#BELIEF_MS} after the request is sent, and take some hundred milliseconds of that.
    */
   private static final long MAX_ENGINE_WAIT_MS = 250;
 
-  /** Share of an engine's memory for requests under way; the rest is for its prefix cache. */
+  /** Share of an engine's memory for requests in flight; the remainder is for its prefix cache. */
   static final double MEMORY_SHARE = 0.75;
 
   /**
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Evacuations.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Evacuations.java
@@ -61,7 +61,10 @@
     ended = listener;
   }
 
-  /** Declares that this VM reads the evacuations from the store; until then they are unknown. */
+  /**
+   * Declares that this VM reads the evacuations from the store; they are unknown until the first
+   * list is read.
+   */
   public void expectList() {
     known = false;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/LimitedServers.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/LimitedServers.java
@@ -22,59 +22,62 @@
  * Shares the request limit of a server among all VMs.
  *
  * <p>Each VM knows from the reports of the others how many requests the server was sent recently.
- * While that leaves capacity, VMs send in short time slots that each draws by a hash of its own;
- * the number of drawn slots follows the capacity. So the limit can be used up even if only few VMs
- * have requests, and the number of requests that several VMs send before they hear of each other is
- * bounded. VMs that do not hear each other use equal shares of the limit, so that the limit holds
- * in that case too.
+ * While that leaves capacity, VMs send only in short time slots, which each VM draws with a hash of
+ * its own; the number of drawn slots follows the capacity. So the limit can be used up even if only
+ * few VMs have requests, and the number of requests that several VMs send before they receive each
+ * other's reports is bounded. VMs that receive no reports of each other use equal shares of the
+ * limit, so that the limit holds in that case too.
  *
  * <p>The cost is one lookup for each server that is considered while any server has a limit. Used
  * on the event loop only.
  */
 final class LimitedServers {
   /**
-   * Slot length where all VMs report to each other: they hear of each other's sends after one or
-   * two such slots.
+   * Slot length where all VMs report to each other: a VM learns of the requests that the others
+   * sent after one or two such slots.
    */
   private static final long MESH_SLOT_MS = PeerLoads.ROUND_MS;
 
   /**
-   * Slot length where reports go through hubs; long, so that few slots begin before a send is
-   * known.
+   * Slot length where reports go through hubs; long, so that few slots begin before all VMs know of
+   * a sent request.
    */
   private static final long HUB_SLOT_MS = 1_500;
 
   /**
-   * Number of slots that begin, counted with the slot of a send, until all VMs have heard of the
-   * send.
+   * Number of slots that begin until all VMs know of a sent request, including the slot in which it
+   * was sent.
    */
   private static final double MESH_BLIND_SLOTS = 2.75;
 
   private static final double HUB_BLIND_SLOTS = 1.2;
 
-  /** Factor of its limit that a server can take within the window over which sends are counted. */
+  /**
+   * Factor of its limit that a server can take within the window over which sent requests are
+   * counted.
+   */
   private static final double OVERSHOOT = 1.5;
 
   /** Number of requests that it can take on top of that. */
   private static final double TOLERANCE = 5;
 
   /**
-   * Share of the known free capacity that is counted, since sends not yet heard of may use the
-   * rest.
+   * Share of the known free capacity that is counted, since requests of other VMs that are not
+   * reported yet may use the remainder.
    */
   private static final double ROOM_SHARE = 0.7;
 
   /**
    * Number of standard deviations by which the mean number of requests lies below what a server can
-   * take beyond its limit. What VMs send before they hear of each other is drawn, so it follows a
-   * Poisson distribution.
+   * take beyond its limit. The requests that VMs send before they receive each other's reports
+   * depend on independently drawn slots, so their number follows a Poisson distribution.
    */
   private static final double DEVIATIONS = 2.5;
 
   /** Factor of the mean wait that hardly any wait exceeds; slots are drawn, so waits vary. */
   private static final double SURE_WAITS = 5;
 
-  /** Longer than any request lives. */
+  /** Longer than any request lasts. */
   private static final long MAX_WAIT_MS = 86_400_000;
 
   private static final double MS_PER_SECOND = 1_000;
@@ -127,7 +130,8 @@
 
   /**
    * Returns the mean number of requests that all VMs together may send in one slot if every drawn
-   * slot has a request. Sends that VMs hear of too late still fit into what the server can take.
+   * slot has a request. Requests that are reported too late still fit into what the server can
+   * take.
    */
   private double mostInSlot(ServerLimit limit, double room) {
     double excess = (OVERSHOOT - 1) * limit.inWindow() + TOLERANCE + ROOM_SHARE * Math.max(0, room);
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/PartMoves.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/PartMoves.java
@@ -18,8 +18,8 @@
 import java.util.List;
 
 /**
- * The transfers of KV cache entries between an engine and stores for one request: which parts of
- * the prompt the engine fetches and saves, and where. Immutable.
+ * The transfers of KV cache entries between an engine and part stores for one request: which parts
+ * of the prompt the engine fetches and saves, and where. Immutable.
  *
  * @param fetch the address of the source store for each part; empty if the part is not fetched
  * @param save the address of the target store for each part; empty if the part is not saved
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/PartRelay.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/PartRelay.java
@@ -30,8 +30,8 @@
 import org.landingtrack.internal.loads.StoreNews.Change;
 
 /**
- * Receives the updates of KV stores, polled by this VM or forwarded by another one, applies them to
- * {@link PartStores} and forwards new ones to other VMs.
+ * Receives the updates of part stores, polled by this VM or forwarded by another one, applies them
+ * to {@link PartStores} and forwards new ones to other VMs.
  *
  * <p>Each message repeats the recent changes, so that a lost message is made up for by the next
  * ones. If a change is missing nevertheless, the full list of the store is requested. A missed
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/PartSources.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/PartSources.java
@@ -76,7 +76,7 @@
   /**
    * Looks up the stores that hold the shared parts of a prompt.
    *
-   * @param allowed accepts the stores in which the prompt's KV cache entries may be kept
+   * @param allowed accepts the stores in which the prompt's KV cache entries may be stored
    * @param now the time on the event loop's clock, in milliseconds
    */
   PartSources(
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/PartStore.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/PartStore.java
@@ -21,8 +21,9 @@
 import org.landingtrack.internal.serving.ServiceInfo.EngineInfo;
 
 /**
- * This VM's view of one KV store, which keeps KV cache entries of prompt parts. The store evicts
- * nothing by itself, so a part that is complete stays complete until the store restarts, empty.
+ * This VM's view of one part store, which stores the KV cache entries of prompt parts. The store
+ * evicts nothing by itself, so a part that is complete stays complete until the store restarts,
+ * empty.
  *
  * <p>The view is valid only for a short time after the store confirmed it. That time is shorter
  * than a restart of the store, so what a VM knows of the previous incarnation has expired before
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/PartStores.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/PartStores.java
@@ -30,7 +30,7 @@
 import org.landingtrack.internal.serving.ServiceInfo.EngineInfo;
 
 /**
- * The KV stores that this VM knows: finds the stores from which a prompt part can be fetched, and
+ * The part stores that this VM knows: finds the stores from which a prompt part can be fetched, and
  * selects the ones where parts are saved. Not thread-safe; used on the event loop.
  */
 public final class PartStores {
@@ -153,7 +153,7 @@
    * and records the saves. Returns the store's address for each part; empty if it is not saved.
    *
    * @param engine the engine that will have the parts
-   * @param allowed accepts the stores in which the parts may be kept
+   * @param allowed accepts the stores in which the parts may be stored
    */
   List<String> save(
       String scope, Prompt prompt, EngineInfo info, Backend engine, Predicate<PartStore> allowed) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/RequestRun.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/RequestRun.java
@@ -83,7 +83,7 @@
     return team == null ? "" : team.name();
   }
 
-  /** Returns the digest of the request; it is the same each time its caller sends it again. */
+  /** Returns the digest of the request; retries of its caller have the same digest. */
   public RequestDigest digest() {
     return suspicion.digest();
   }
@@ -177,7 +177,7 @@
 
   /**
    * Queues a request that no server may have now, if its turn comes in time at a server that is
-   * passed over only because it is cold or has a rate limit; otherwise ends the request.
+   * skipped only because it is cold or has a rate limit; otherwise ends the request.
    */
   private void awaitTurn(SendPlanner currentPlanner, Route currentRoute) {
     WaitingRuns waiting = serving.waiting();
@@ -368,8 +368,8 @@
   }
 
   /**
-   * Fails the attempt under way if it was sent to a server instance that has been replaced by a
-   * restart. That instance may have run the request.
+   * Fails the attempt in flight if it was sent to a server incarnation that has been replaced by a
+   * restart. That incarnation may have run the request.
    */
   void serverStartedAgain(Backend replaced) {
     Attempt current = attempt;
@@ -431,7 +431,7 @@
     return attempt == null ? "" : attempt.serverId();
   }
 
-  /** Handles the outcome of the attempt under way: ends the request or retries it. */
+  /** Handles the outcome of the attempt in flight: ends the request or retries it. */
   private final class Answers implements Attempt.Outcome {
     @Override
     public void notRun(Attempt sent, NotRunReason reason, String why) {
@@ -454,7 +454,7 @@
           sent.backend().replacedByAnother();
           serving.ends().ended(sent.backend());
           serving.endedStarts().seen(sent.backend());
-          serving.log().ejected(sent.serverId(), "another instance of the server has its address");
+          serving.log().ejected(sent.serverId(), "another incarnation or server has its address");
         }
         case FULL -> sent.backend().refused(loop.millis());
         case OTHER_VERSION -> sent.refusedWeights(serving.state());
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/RequestSuspicion.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/RequestSuspicion.java
@@ -41,7 +41,7 @@
     this.team = team;
   }
 
-  /** Returns the digest of the request; it is the same each time its caller sends it again. */
+  /** Returns the digest of the request; retries of its caller have the same digest. */
   RequestDigest digest() {
     RequestDigest known = digest;
     if (known == null) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Route.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Route.java
@@ -30,7 +30,7 @@
  * @param targetLatencyMs the time within which a response (the first event of a stream) is in time
  * @param maxAttempts the maximum number of backend servers that one request may be sent to
  * @param open true if callers need no API key
- * @param eventGapMs the longest pause between two events of a stream that is still in time
+ * @param eventGapMs the maximum time between two events of a stream that counts as in time
  * @param homes the regions in which its requests may run
  */
 public record Route(
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/SendPlanner.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/SendPlanner.java
@@ -37,8 +37,8 @@
  */
 final class SendPlanner {
   /**
-   * Time in milliseconds after the last allowed send to an engine with replaced weights within
-   * which the engine must start the request. It leaves half a second of the overall bound. Without
+   * Time in milliseconds within which an engine with replaced weights must start a request that was
+   * sent at the last allowed moment. Half a second of the overall bound remains after it. Without
    * this limit, requests waited up to 2.3 s in the queues of slow engines.
    */
   private static final long BEGIN_MS = 700;
@@ -68,7 +68,7 @@
    * @param weights the weight version that the server must have; 0 if any version will do
    * @param scope the scope of the KV cache entries
    * @param sources the stores that hold the parts of the prompt, or null if none were looked up
-   * @param work the kind of work that the request is for the server
+   * @param work the work that the request causes at the server
    * @param probe true if the attempt probes an ejected server
    */
   record SendPlan(
@@ -200,7 +200,10 @@
     return Math.min(waitMs, cold.waitMs(skippedCold, info, queuedBefore));
   }
 
-  /** Late requests queue behind others, so one that would become late may never be served. */
+  /**
+   * Returns the expected wait for a server with a rate limit; {@link Long#MAX_VALUE} if the request
+   * would become late. Late requests queue behind others, so it might never be served.
+   */
   private long limitedWaitMs(int queuedBefore) {
     long waitMs = limited.waitMs(barred.getOrDefault(Bar.LIMITED, List.of()), queuedBefore);
     long ageMs = loop.millis() - request.receivedAtMs();
@@ -387,8 +390,8 @@
 
   /**
    * Returns the servers whose weights are not too old. The known versions may be outdated. If no
-   * server is left, the caller may try any server with the newest version, and the server refuses
-   * the request if it has another one.
+   * server is left, the request may be sent to any server with the newest version as a requirement;
+   * a server with another version refuses it.
    */
   private List<Backend> recentEnough(List<Backend> usable, OptionalLong oldest) {
     Prompt prompt = request.prompt();
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerBook.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerBook.java
@@ -410,11 +410,11 @@
   }
 
   /**
-   * Returns the servers of a service that may get a request now: the healthy ones, or the rest if
+   * Returns the servers of a service that may get a request now: the healthy ones, or the others if
    * there are none.
    *
    * @param eligible further conditions of the request
-   * @param isOnlySend true if the request has no send left after this one
+   * @param isOnlySend true if the request has no attempt left after this one
    */
   List<Backend> usable(String service, Predicate<Backend> eligible, boolean isOnlySend) {
     long now = loop.millis();
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerChooser.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerChooser.java
@@ -86,7 +86,7 @@
 
   /**
    * Extra cost of a server that loads new weights next: loading is shorter if the server has no
-   * requests under way.
+   * requests in flight.
    */
   private static final double LOADING_SOON_MS = 150;
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerEnds.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerEnds.java
@@ -24,22 +24,22 @@
 
 /**
  * Detects servers that crashed while requests were in flight there, and reports those requests to
- * the {@link Quarantine}. A connection may also break because of a reset, a malformed answer or a
- * cut connection. Proof that a server ended is that its address refuses connections, that another
- * incarnation answers there, or that its entry disappears. A server that leaves as planned charges
- * no request. Used on the event loop only.
+ * the {@link Quarantine}. A broken connection alone does not prove a crash: it may have been reset
+ * or cut, or the answer may be malformed. Proof that a server ended is that its address refuses
+ * connections, that another incarnation answers there, or that its entry disappears. The end of a
+ * server that announced to leave is counted against no request. Used on the event loop only.
  */
 final class ServerEnds {
   /**
    * How long a broken request waits for proof that its server ended. An entry disappears within
-   * four seconds of the end of its server; the rest covers delays of the store's watch.
+   * four seconds of the end of its server; the remainder covers delays of the store's watch.
    */
   private static final long PROOF_MS = 10_000;
 
   /**
-   * Delay before the second probe. A server that ends may accept connections for a moment after it
-   * broke off others: with one probe, two of about 45 ends were not charged to their request, in
-   * eight runs of a test over sockets.
+   * Delay before the second connection attempt. A server that ends may accept connections for a
+   * moment after it broke off others: with a single attempt, two of about 45 crashes were not
+   * counted against their request, in eight runs of a test over sockets.
    */
   private static final long LOOK_AGAIN_MS = 250;
 
@@ -54,7 +54,7 @@
   private final BackendTransport transport;
   private final Map<Backend, Broken> broken = new HashMap<>();
 
-  /** Requests that broke off at one server, and the number of probes made. */
+  /** Requests that broke off at one server, and the number of connection attempts made. */
   private static final class Broken {
     private final List<RequestDigest> requests = new ArrayList<>();
     private int looks;
@@ -108,7 +108,7 @@
     }
   }
 
-  /** Notes that a server ended, and charges that to all requests that broke off there. */
+  /** Notes that a server ended, and counts the crash against all requests that broke off there. */
   void ended(Backend server) {
     server.end();
     Broken pending = broken.remove(server);
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerEntry.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerEntry.java
@@ -18,11 +18,11 @@
 import java.util.Map;
 
 /**
- * A backend server as it announces itself in the platform's store.
+ * A backend server as registered in the platform's store.
  *
- * @param id names the server; a later incarnation of it may have the same id
+ * @param id identifies the server; a later incarnation of it may have the same id
  * @param slots number of requests that the server runs at the same time
- * @param leaving true once it announced that it will end
+ * @param leaving true once it announced that it leaves
  * @param coldMs how much longer the server is slow after its start
  * @param weightVersions the weights version of each model that it has
  * @param startedMs when this incarnation started, by the server's wall clock; 0 if it does not
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerLimit.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerLimit.java
@@ -78,7 +78,10 @@
     return isOver;
   }
 
-  /** Returns when the server reported this, or when this VM learned of it at the earliest. */
+  /**
+   * Returns when the report arrived from the server at any VM, on the event loop's clock. A report
+   * of another VM counts as later than it was by its network delay.
+   */
   long saidAtMs() {
     return saidAtMs;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerLimits.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerLimits.java
@@ -30,21 +30,22 @@
  * would not learn that its limit was lifted. The later report wins, so neither order nor repetition
  * of reports matters.
  *
- * <p>Without a known limit nothing is kept or sent. A limit costs about 20 bytes in each message
+ * <p>Without a known limit nothing is stored or sent. A limit costs about 20 bytes in each message
  * for {@link #TOLD_MS} after each answer that reports it. Used on the event loop only.
  */
 public final class ServerLimits implements LoadExchange.Board<LimitNews> {
   /** How long a report is repeated to other VMs, to make up for lost messages. */
   static final long TOLD_MS = 2_000;
 
-  /** How long a limit is kept without a new report; the next answer reports it again. */
+  /** How long a limit is stored without a new report; the next answer reports it again. */
   static final long FORGET_MS = 600_000;
 
   /** Bound of limits in one message, 1.3 kB; the latest reports come first. */
   static final int MAX_TOLD = 64;
 
   /**
-   * Bound of kept limits. No deployment planned for has more servers with a limit at the same time.
+   * Maximum number of stored limits; no planned deployment is expected to have more servers with a
+   * limit at the same time.
    */
   static final int MAX_KEPT = 4_096;
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerNotice.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerNotice.java
@@ -23,8 +23,8 @@
  * @param limitPerSecond requests per second that it accepts from all VMs together, if reported
  * @param endsLimit true if the server ran the request and reports no limit: it has none any more
  * @param leaving true if it is about to end
- * @param restMs how long it wants no request of this VM; 0 if it does not ask for that
- * @param unreadable true if a part cannot be parsed; that part is ignored
+ * @param restMs the backoff that it asks of this VM, in milliseconds; 0 if it asks for none
+ * @param unreadable true if a field of the notice cannot be parsed; that field is ignored
  */
 public record ServerNotice(
     OptionalDouble limitPerSecond,
@@ -32,7 +32,7 @@
     boolean leaving,
     long restMs,
     boolean unreadable) {
-  /** Creates a notice of which every part was parsed. */
+  /** Creates a notice of which every field was parsed. */
   public ServerNotice(
       OptionalDouble limitPerSecond, boolean endsLimit, boolean leaving, long restMs) {
     this(limitPerSecond, endsLimit, leaving, restMs, false);
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerRest.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerRest.java
@@ -16,25 +16,26 @@
 package org.landingtrack.internal.serving;
 
 /**
- * The backoff that a backend server asked this VM for: how long it wants no request from it. Not
- * thread-safe.
+ * The backoff that a backend server asked this VM for: the time in which the server wants no
+ * request from it. The first request afterwards is the trial, which shows whether the server
+ * accepts requests again. Not thread-safe.
  */
 final class ServerRest {
   /**
-   * Upper bound of a backoff. A longer one would be as good as the end of the server; its next
-   * incarnation starts without one.
+   * Upper bound of a backoff. A longer backoff would have the same effect as the end of the server,
+   * whose next incarnation starts without a backoff.
    */
   static final long MAX_MS = 3_600_000;
 
-  /** How long after the backoff any request may be the trial that tests the server. */
+  /** How long after the end of the backoff the trial is left to requests that can be retried. */
   private static final long TRIAL_MS = 1_000;
 
   private long untilMs = Long.MIN_VALUE;
   private boolean unproven;
 
   /**
-   * Notes that the server asked this VM to back off. Of several such answers the one that lasts
-   * longest counts.
+   * Notes that the server asked this VM to back off. Of several backoffs the one that ends last
+   * counts.
    *
    * @return true if no backoff was active
    */
@@ -56,17 +57,18 @@
 
   /**
    * Returns true if the backoff is over, no answer has shown yet that the server accepts requests,
-   * and the trial should be left to another request. A request that would be lost by a refusal
-   * becomes the trial only if no other came for {@link #TRIAL_MS}.
+   * and the trial should be left to another request. A request that cannot be retried after a
+   * refusal becomes the trial only if no other request came for {@link #TRIAL_MS}.
    *
-   * @param avoidsTrial true if the request has no send left after this one, or a trial is in flight
+   * @param avoidsTrial true if the request has no attempt left after this one, or a trial is in
+   *     flight
    */
   boolean isLeftToOthers(long nowMs, boolean avoidsTrial) {
     boolean isOnTrial = unproven && !isOn(nowMs);
     return isOnTrial && avoidsTrial && nowMs < untilMs + TRIAL_MS;
   }
 
-  /** Returns how much longer the server is to be left alone, in milliseconds. */
+  /** Returns the remaining backoff in milliseconds. */
   long leftMs(long nowMs) {
     return isOn(nowMs) ? untilMs - nowMs : 0;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerRests.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerRests.java
@@ -26,8 +26,8 @@
 /**
  * Keeps the backoffs that backend servers asked any VM for, by the hash of their incarnation. A
  * backoff binds the VM that was asked. The other VMs skip such a server while another one is
- * available, because otherwise each of them would lose a request to find out. Nothing is kept or
- * sent if no server asks for a backoff. Used on the event loop only.
+ * available, because otherwise each of them would waste an attempt to find out. Nothing is stored
+ * or sent if no server asks for a backoff. Used on the event loop only.
  */
 public final class ServerRests implements LoadExchange.Board<RestNews> {
   /** How long a backoff is repeated to other VMs, to make up for lost messages. */
@@ -37,8 +37,8 @@
   static final int MAX_TOLD = 64;
 
   /**
-   * Extra delay of the other VMs. The VM that was asked tries the server first, and the others
-   * learn the result.
+   * Extra delay of the other VMs. The VM that was asked sends the first request to the server, and
+   * the others learn the result.
    */
   private static final long OTHERS_LATER_MS = 300;
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Serving.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Serving.java
@@ -28,8 +28,8 @@
 import org.landingtrack.internal.retry.RetryTerms;
 
 /**
- * Serves the requests of callers: starts a {@link RequestRun} for each, keeps those under way, and
- * holds the parts of this VM that route and retry them. Used on the event loop only.
+ * Serves the requests of callers: starts a {@link RequestRun} for each, keeps those in flight, and
+ * holds the components that route and retry them. Used on the event loop only.
  */
 public final class Serving {
   private final EventLoop loop;
@@ -107,8 +107,8 @@
   }
 
   /**
-   * Fails the requests under way at a server instance that has been replaced, as after a crash. Its
-   * connections may stay open and silent, and then requests would wait until their deadlines.
+   * Fails the requests in flight at a server incarnation that has been replaced, as after a crash.
+   * Its connections may stay open and silent, and then requests would wait until their deadlines.
    */
   private void startEnded(Backend replaced) {
     transport.forget(replaced.entry().id());
@@ -143,12 +143,12 @@
     waiting.remove(run);
   }
 
-  /** Returns the number of requests under way, queued ones included. */
+  /** Returns the number of requests in flight at this VM, queued ones included. */
   public int runningCount() {
     return running.size();
   }
 
-  /** Ends all requests under way, with the reason for the log and the callers. */
+  /** Ends all requests in flight, with the reason for the log and the callers. */
   public void abortAll(String why) {
     List<RequestRun> runs = new ArrayList<>(running);
     for (RequestRun run : runs) {
@@ -156,12 +156,12 @@
     }
   }
 
-  /** Returns how often a server was passed over because it is cold, since the start. */
+  /** Returns how often a server was skipped because it is cold, since the start. */
   public long passedOverCold() {
     return cold.passedOver();
   }
 
-  /** Returns how often a server was passed over because of its rate limit, since the start. */
+  /** Returns how often a server was skipped because of its rate limit, since the start. */
   public long passedOverLimited() {
     return limited.passedOver();
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServingConfig.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServingConfig.java
@@ -38,7 +38,7 @@
    * Creates a configuration.
    *
    * @param teamsByKey the team of each API key; empty if callers need none
-   * @param partStores the stores for prompt parts (KV cache)
+   * @param partStores the part stores
    */
   public ServingConfig(
       long version,
@@ -105,7 +105,7 @@
     return key == null ? Optional.empty() : Optional.ofNullable(teamsByKey.get(key));
   }
 
-  /** Returns the stores for prompt parts (KV cache). */
+  /** Returns the part stores. */
   public List<PartStore.StoreInfo> partStores() {
     return partStores;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServingState.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServingState.java
@@ -40,7 +40,9 @@
  * only.
  */
 public final class ServingState {
-  /** Versions kept per model. Older ones were published too long ago to affect any time limit. */
+  /**
+   * Versions remembered per model. Older ones were published too long ago to affect any time limit.
+   */
   private static final int MAX_VERSIONS = 16;
 
   private static final int MIN_LOADS_AT_ONCE = 3;
@@ -119,7 +121,7 @@
     return limits;
   }
 
-  /** Returns the pauses that servers requested from any VM. */
+  /** Returns the backoffs that servers asked any VM for. */
   public ServerRests rests() {
     return rests;
   }
@@ -132,7 +134,7 @@
   /**
    * Applies a configuration unless the same or a newer version is in force.
    *
-   * @return the KV cache stores that were not configured before
+   * @return the part stores that are new or changed
    */
   public List<PartStore.StoreInfo> configure(ServingConfig next, long revision) {
     ServingConfig current = config;
@@ -181,12 +183,14 @@
     return config;
   }
 
-  /** Returns the stores for prompt parts (KV cache). */
+  /** Returns the part stores, which hold KV cache entries of prompt parts. */
   public PartStores parts() {
     return parts;
   }
 
-  /** Returns this VM's load on servers and its fetches from stores, for reports to other VMs. */
+  /**
+   * Returns this VM's load on servers and its fetches from part stores, for reports to other VMs.
+   */
   public List<Load> ownLoads() {
     List<Load> loads = servers.ownLoads(limits::sentLately);
     loads.addAll(parts.ownLoads());
@@ -306,8 +310,8 @@
 
   /**
    * Returns how many of a model's engines load weights at the same time. With more of them the
-   * rollout ends sooner, but each engine starts with an empty KV cache: with ten of 42 engines at
-   * the same time, the cold caches cost more than the old weights.
+   * rollout ends sooner, but each engine starts with an empty prefix cache: with ten of 42 engines
+   * at the same time, the cold caches cost more than the old weights.
    */
   public int loadsAtOnce(String model) {
     int engines = 0;
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/StoreTrouble.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/StoreTrouble.java
@@ -18,9 +18,9 @@
 import org.landingtrack.internal.base.Ticker;
 
 /**
- * Decides how far the store's list of servers can be trusted around outages: entries may have
- * expired while the store was away, and an older copy of the store may list servers that are long
- * gone. Not thread-safe.
+ * Decides whether the list of servers in the platform's store may be outdated after an outage:
+ * entries may have expired while the store was unreachable, and an older copy of the store may list
+ * servers that ended long ago. Not thread-safe.
  */
 final class StoreTrouble {
   /**
@@ -36,8 +36,8 @@
   private long rewoundAtMs = Long.MIN_VALUE / 2;
 
   /**
-   * Entries that were removed from this time on may only have expired, until the store has been
-   * back for {@link #lapsedMs}.
+   * An entry whose removal was learned at or after this time may only have expired. That doubt ends
+   * {@link #lapsedMs} after the store's recovery.
    */
   private long doubtSinceMs;
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/WaitingRuns.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/WaitingRuns.java
@@ -34,7 +34,8 @@
   private static final long RANK_MS = 300;
 
   /**
-   * How often queued requests are tried again; news of other VMs' loads comes at least as often.
+   * How often it is checked whether queued requests can be sent; load reports of other VMs arrive
+   * at least as often.
    */
   private static final long LOOK_EVERY_MS = 50;
 
@@ -52,7 +53,7 @@
   /**
    * A queued request.
    *
-   * @param turnMs orders the queue: the smaller, the sooner the request is tried
+   * @param turnMs orders the queue: the smaller, the sooner the request is considered
    */
   private record Waiting(RequestRun run, long turnMs) {}
 
@@ -60,7 +61,10 @@
     this.loop = loop;
   }
 
-  /** Adds a request if it is not queued yet. It is tried again by {@link RequestRun#tryNow}. */
+  /**
+   * Adds a request if it is not queued yet. Later {@link RequestRun#tryNow} sends it once a server
+   * can start it soon.
+   */
   void add(RequestRun run, int priority) {
     if (!contains(run)) {
       waiting.add(new Waiting(run, run.request().receivedAtMs() + priority * RANK_MS));
@@ -135,8 +139,9 @@
   }
 
   /**
-   * Tries all queued requests in order. One that still has to wait does not block the others. Those
-   * that can no longer meet their target latency come after those that can.
+   * Checks all queued requests in order and sends those that can start soon. One that still has to
+   * wait does not block the others. Those that can no longer meet their target latency come after
+   * those that can.
    */
   private void look() {
     lookIsDue = false;
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/BackpressureFleet.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/BackpressureFleet.java
@@ -35,8 +35,8 @@
 import org.landingtrack.internal.serving.BackendTransport.NotRunReason;
 
 /**
- * Simulates VMs and backend servers with backpressure on one clock: servers set rate limits,
- * request pauses or announce that they leave in their responses, and callers send requests to all
+ * Simulates VMs and backend servers with backpressure on one clock: servers set rate limits, ask
+ * for backoffs or announce that they leave in their responses, and callers send requests to all
  * VMs. Records which requests reach the servers, and reports where these violate what servers
  * requested. Deterministic for a seed.
  */
@@ -56,7 +56,7 @@
   /** The time for which a leaving server may still get requests after it announced to leave. */
   private static final long LEAVING_MS = 2_000;
 
-  /** The requests from one VM that may reach a server during a pause that it requested. */
+  /** The requests from one VM that may reach a server during a backoff that it asked for. */
   private static final int RESTING_REQUESTS = 2;
 
   private static final long ONE_WAY_MS = 1;
@@ -101,7 +101,7 @@
   /** A request that reached a server. */
   record Arrival(Vm vm, long sentAtMs, long atMs) {}
 
-  /** A pause that a VM must observe, and the number of its requests that arrived in it. */
+  /** A backoff that a VM must observe, and the number of its requests that arrived in it. */
   private static final class Rest {
     private final Vm vm;
     private final long fromMs;
@@ -541,7 +541,7 @@
       }
       rest.arrived++;
       if (rest.arrived > RESTING_REQUESTS) {
-        broken.add(server.entry.id() + " rests: " + rest.arrived + " until " + rest.untilMs);
+        broken.add(server.entry.id() + " backoff: " + rest.arrived + " until " + rest.untilMs);
       }
     }
   }
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/BackpressureSeedsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/BackpressureSeedsTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.Test;
 
 /**
- * Simulates random fleets in which servers set rate limits, request pauses and leave, in any
+ * Simulates random fleets in which servers set rate limits, ask for backoffs and leave, in any
  * combination, while requests arrive in bursts and VMs restart, pause or are partitioned. Checks
  * that no server gets more requests than it asked for.
  */
@@ -54,7 +54,7 @@
   /**
    * With this seed nine requests reached a server with a limit of 0.5 requests per second in four
    * seconds, where eight are allowed. The fleet exchanges load reports through hubs, and all VMs
-   * drew three more slots before they learned of the first sends.
+   * drew three more slots before they learned of the first requests.
    */
   @Test
   public void slotsDrawnBeforeSendsAreHeardOfDoNotAddUp() {
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ColdServersTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ColdServersTest.java
@@ -25,7 +25,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests a fleet that uses up every share of one server that stays cold. */
+/**
+ * Tests how many requests a server that stays cold gets from a fleet in which each VM sends as many
+ * as it may.
+ */
 public final class ColdServersTest {
   private static final double OVERSHOOT = 1.5;
   private static final double TOLERANCE = 5;
@@ -118,10 +121,7 @@
     assertEquals(limiter.passedOver(), 0);
   }
 
-  /**
-   * The wait ends when the server is warm, or when enough shares have come for all waiting
-   * requests.
-   */
+  /** The wait ends when the server is warm, or when this VM may have sent all waiting requests. */
   @Test
   public void theWaitIsForTheShareOrForTheEndOfTheCold() {
     ManualLoop loop = new ManualLoop();
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/CrashingFleet.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/CrashingFleet.java
@@ -76,7 +76,7 @@
    */
   int sharedThreeEnds;
 
-  /** A request that crashes each server that starts it, with what became of it. */
+  /** A request that crashes each server that starts it, with its outcomes. */
   static final class Culprit {
     final Set<String> ended = new HashSet<>();
     long thirdEndMs = Long.MAX_VALUE / 2;
@@ -172,7 +172,7 @@
 
   /**
    * Sends a request with a new id to a random VM. At a VM that pauses, half of the requests wait
-   * until it goes on.
+   * until it resumes.
    */
   void send(String path, boolean isRetry) {
     Vm vm = vms.get(random.nextInt(VMS));
@@ -203,7 +203,7 @@
     vm.world.serving.serve(request, new Caller(path, isRetry));
   }
 
-  /** Counts the outcomes of a request. Sends a harmless one once more if it was not served. */
+  /** Counts the outcomes of a request. Retries a harmless one once if it was not served. */
   private final class Caller implements CallerSink {
     private final String path;
     private final boolean again;
@@ -342,7 +342,7 @@
     vms.forEach(vm -> vm.world.book.remove(id, started));
   }
 
-  /** Crashes one random server, whatever it has under way. */
+  /** Crashes one random server, whatever requests it has in flight. */
   void endOne() {
     List<Server> alive = new ArrayList<>();
     servers.values().stream()
@@ -362,7 +362,9 @@
     vms.forEach(Vm::start);
   }
 
-  /** Pauses a VM: it receives no news, and some requests wait in its sockets until it goes on. */
+  /**
+   * Pauses a VM: it receives no messages, and some requests wait in its sockets until it resumes.
+   */
   void standStill(long ms) {
     Vm vm = vms.get(random.nextInt(VMS));
     vm.hearsAgainMs = loop.millis() + ms;
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/CrashingRequestSeedsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/CrashingRequestSeedsTest.java
@@ -23,13 +23,13 @@
 
 /**
  * Tests the quarantine in simulated runs of five VMs. Two requests, one of them a resumable stream,
- * crash each server that starts them and are sent again and again to random VMs. Servers also crash
- * for other reasons, and VMs restart, one or all at once, or pause for seconds. From three seconds
- * after its third crash, VMs without trouble send a request to at most three more servers. No
- * request is quarantined before three servers crashed while they had it.
+ * crash each server that starts them and are retried again and again at random VMs. Servers also
+ * crash for other reasons, and VMs restart, one or all at once, or pause for seconds. From three
+ * seconds after its third crash, VMs that are not disturbed send a request to at most three more
+ * servers. No request is quarantined before three servers crashed while they had it.
  */
 public final class CrashingRequestSeedsTest {
-  /** Simulated runs for each trouble; 1,000 were run once by hand. */
+  /** Simulated runs for each disturbance; 1,000 were run once by hand. */
   private static final int SEEDS = 40;
 
   private static final long DAY_MS = 60_000;
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/CrashingRequestTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/CrashingRequestTest.java
@@ -32,11 +32,11 @@
  *
  * <p>Each engine crashed 0.1 s after it started the request: its connections closed in the middle
  * of responses, its address refused connections, and a few seconds later it was back as a new
- * instance. After a second the caller sent the same path and body (16,553 tokens) again, with a new
- * id and to another VM, which chose the next engine. Broken requests counted only against the
+ * incarnation. After a second the caller sent the same path and body (16,553 tokens) again, with a
+ * new id and to another VM, which chose the next engine. Broken requests counted only against the
  * server, and requests were told apart only by their ids, so no VM linked the crashes. The logs of
  * six VMs showed ten such requests of one team, each at one engine that was gone within half a
- * second, and no other request that was under way at all ten engines.
+ * second, and no other request that was in flight at all ten engines.
  */
 public final class CrashingRequestTest {
   private static final String PATH = "/never/x";
@@ -56,7 +56,7 @@
     starts = 3;
   }
 
-  /** Crashes the server of a call, and starts a new instance. */
+  /** Crashes the server of a call, and starts a new incarnation. */
   private void serverEnds(FakeTransport.Sent sent) {
     sent.listener.broken("the connection closed before the answer was whole");
     world.book.remove(sent.call.serverId(), 2);
@@ -122,7 +122,7 @@
     assertEquals(vms.get(0).serve(PATH).seen.toString(), "refused QUARANTINED");
   }
 
-  /** A call that is under way when another VM sees the last crash is cancelled. */
+  /** A call that is in flight when another VM sees the last crash is cancelled. */
   @Test
   public void whatWasSentMeanwhileIsTakenBackFromServersThatDidNotBeginIt() {
     RecordingSink sink = world.serve(PATH);
@@ -193,9 +193,9 @@
   }
 
   /**
-   * A crashing server may accept connections for a moment longer. When it was probed only once,
-   * such a crash was not counted and the request got one more server: 2 of about 45 crashes in
-   * tests over sockets.
+   * A crashing server may accept connections for a moment longer. When only one connection was
+   * attempted, such a crash was not counted and the request got one more server: 2 of about 45
+   * crashes in tests over sockets.
    */
   @Test
   public void aServerThatEndsAMomentLaterIsLookedAtAgain() {
@@ -208,7 +208,9 @@
     assertEquals(world.state.quarantine().ends(DIGEST), 1);
   }
 
-  /** Ten harmless requests are at each server that crashes, and are served when sent again. */
+  /**
+   * Ten harmless requests are at each server that crashes, and are served when they are retried.
+   */
   @Test
   public void requestsThatSharedTheServersAreServedAgain() {
     for (int crash = 0; crash < 8; crash++) {
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/DecisionLinesTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/DecisionLinesTest.java
@@ -101,7 +101,7 @@
     }
   }
 
-  /** A statement of a server is logged once, and again when it changes. */
+  /** A notice of a server is logged once, and again when it changes. */
   @Test
   public void aLineTellsWhatAServerSaysOfItself() throws Exception {
     try (CapturedLines captured = new CapturedLines()) {
@@ -120,7 +120,7 @@
     }
   }
 
-  /** A server whose statement differs in each response does not flood the log. */
+  /** A server whose notice differs in each response does not flood the log. */
   @Test
   public void linesOfWhatServersSayAreBounded() throws Exception {
     try (CapturedLines captured = new CapturedLines()) {
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/EndedStartsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/EndedStartsTest.java
@@ -31,12 +31,12 @@
  *
  * <p>Failure: a third of the engines crashed and came back at their addresses a second later under
  * other ids. For seconds requests were refused after two answers each from engines other than the
- * chosen ones: 1,944 of 9,992 sends were wasted.
+ * chosen ones: 1,944 of 9,992 attempts were wasted.
  *
  * <p>Cause: entries of crashed engines remain until three heartbeats are missed. Each of 74 VMs
- * found out for itself, at each engine and by a send of a request that is allowed two, that another
- * incarnation had the address. The first request that was lost so got two answers of status 421
- * within 40 ms, and nothing else.
+ * learned for itself that another incarnation had the address, at the price of one attempt per
+ * engine, and a request is allowed two attempts. The first request that was lost this way got two
+ * answers of status 421 within 40 ms, and nothing else.
  */
 public final class EndedStartsTest {
   private ManualLoop loop = new ManualLoop();
@@ -78,7 +78,7 @@
     }
   }
 
-  /** The entry may be of a later incarnation than the one that the finder knows. */
+  /** The entry may be of a later incarnation than the one that the reporting VM knows. */
   @Test
   public void aLaterStartOfTheServerIsUsed() {
     String ended = findEnded();
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/EngineWaitTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/EngineWaitTest.java
@@ -29,8 +29,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Requests that wait for engines whose memory other VMs report as in use, and requests for replaced
- * incarnations of a server.
+ * Tests requests that wait for engines whose memory other VMs report as in use, and requests that
+ * were sent to replaced incarnations of a server.
  */
 public final class EngineWaitTest {
   private ServingWorld world = new ServingWorld();
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/EvacuationsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/EvacuationsTest.java
@@ -73,7 +73,7 @@
     assertEquals(dataCentreOfLast(), THERE);
   }
 
-  /** The retry of a request that failed there is routed like any other send. */
+  /** The retry of a request that failed there is routed like any other attempt. */
   @Test
   public void aRetryGoesElsewhere() {
     world.serve("/safe/x");
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Servers may have turned cold shortly before, so each VM begins with its share of their
-   * capacity.
+   * Servers may have turned cold shortly before, so each VM treats them as cold at first and uses
+   * only its share of their capacity.
    */
   @Test
   public void whenItIsTakenBackTheServersAreCold() {
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/FakeTransport.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/FakeTransport.java
@@ -20,7 +20,7 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 
-/** Records calls and probes; the test plays the servers. */
+/** Records calls and probes; the test acts as the servers. */
 final class FakeTransport implements BackendTransport {
   final List<Sent> sends = new ArrayList<>();
   final List<String> forgotten = new ArrayList<>();
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/FleetAdmissionServingTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/FleetAdmissionServingTest.java
@@ -29,8 +29,8 @@
 
 /**
  * Tests fleet-wide admission control with engines that are too small for the load at several VMs.
- * Admitted requests meet their target latency and the others are refused at once, also while one
- * thing fails.
+ * Admitted requests meet their target latency and the others are refused at once, also during a
+ * single disturbance.
  */
 public final class FleetAdmissionServingTest {
   private static final long SEED = 3;
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/PartRelayTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/PartRelayTest.java
@@ -30,7 +30,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Updates of a KV store that one VM polls and forwards to others. */
+/** Tests the updates of a part store that one VM polls and forwards to others. */
 public final class PartRelayTest {
   private static final String ADDRESS = "10.0.0.9:80";
   private static final StoreInfo STORE =
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ReplacedWeightsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ReplacedWeightsTest.java
@@ -32,13 +32,13 @@
 /**
  * Guards against answers made with weights that were replaced more than ten seconds earlier.
  *
- * <p>The failure: new weights are announced, but orders to load them are lost, so some engines keep
+ * <p>The failure: new weights are published, but orders to load them are lost, so some engines keep
  * the old ones for more than ten seconds. These engines are slow and under high load. A VM may use
- * them until 8 s after the announcement and sends a request at 7.9 s. The engine is full, so the
- * request waits in its queue for 2.3 s and starts 10.15 s after the announcement.
+ * them until 8 s after the publication and sends a request at 7.9 s. The engine is full, so the
+ * request waits in its queue for 2.3 s and starts 10.15 s after the publication.
  *
  * <p>Cause: the ten-second bound applies to the start of the request, but was checked only when it
- * was sent, and the engine did not know of it. All VMs had received the announcement within 35 ms,
+ * was sent, and the engine did not know of it. All VMs had learned of the new version within 35 ms,
  * and the request reached the engine 8 ms after its arrival; the engine started it 2.29 s later. In
  * each of three simulated days with different seeds, requests were sent in time; in two of them
  * some started late.
@@ -162,7 +162,7 @@
 
   /**
    * The engine may have started the request at the bound, so only a request that may be repeated is
-   * sent again, to the new weights.
+   * retried, at an engine with the new weights.
    */
   @Test
   public void whatDidNotBeginInTimeGoesToTheNewWeightsIfItMayBeSentAgain() {
@@ -196,7 +196,7 @@
       int before = world.transport.sends.size();
       assertEquals(send("/once/x").weightVersion(), OptionalLong.of(2));
       first = first.isEmpty() ? world.transport.last().call.serverId() : first;
-      // A refusal is followed by one more send.
+      // A refusal is followed by one more attempt.
       for (int sent = before; sent < world.transport.sends.size(); sent++) {
         world.transport.sends.get(sent).listener.notRun(NotRunReason.OTHER_VERSION, "answered 421");
       }
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/RequestRunTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/RequestRunTest.java
@@ -253,7 +253,7 @@
     assertEquals(sink.seen.toString(), "refused NO_BACKEND_SERVER");
   }
 
-  /** The age limit applies to each weight version by itself, also once a newer one is named. */
+  /** The age limit applies to each weight version by itself, also once a newer one is published. */
   @Test
   public void weightsThatAreTooOldAreNotUsed() {
     world.nameWeights(2);
@@ -353,7 +353,7 @@
     assertEquals(sink.seen.toString(), "refused NO_BACKEND_SERVER");
   }
 
-  /** A revoked key is refused from then on; requests under way with it go on. */
+  /** A revoked key is refused from then on; requests in flight with it go on. */
   @Test
   public void aRevokedKeyIsRefusedAtOnce() {
     RecordingSink underWay = world.serve("/never/x", ServingWorld.WALLED_KEY);
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerBookTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerBookTest.java
@@ -76,7 +76,7 @@
    * at any time, and the VM read the full list. It took that for the end of an outage, after which
    * a missing entry may only have expired, and treated the server as usable for 2.5 s more: up to
    * 4.5 s after the removal, where 2 s are allowed. Only entries that went missing while the VM
-   * heard nothing may have expired.
+   * received nothing from the store may have expired.
    */
   @Test
   public void aCutWatchDoesNotBringBackAServerThatWasGoneBefore() {
@@ -109,7 +109,10 @@
     assertEquals(usable(), List.of("e2"));
   }
 
-  /** A store that has just recovered may fail some more calls; expired entries stay in doubt. */
+  /**
+   * A store that has just recovered may fail some more calls; missing entries still count as
+   * expired ones that may come back.
+   */
   @Test
   public void aStoreThatFailsAgainAtOnceLeavesTheDoubt() {
     loop.advance(8_000);
@@ -132,8 +135,8 @@
 
   /**
    * Guards against treating a list as a fresh change. All servers of a service began to leave while
-   * a VM heard nothing from the store: it was suspended, or its connection had gone silent, which
-   * is detected after three to five seconds. It then read the full list, took the servers as
+   * a VM received nothing from the store: it was suspended, or its connection had gone silent,
+   * which is detected after three to five seconds. It then read the full list, took the servers as
    * leaving since that moment, and gave them last-resort requests for 1.4 s more, where 2 s after
    * the change of their entries are allowed. A list does not say since when a server leaves.
    */
@@ -171,8 +174,8 @@
   }
 
   /**
-   * The server's own announcement outweighs what the store says of it. An earlier incarnation
-   * counts as a different server.
+   * The server's own announcement takes precedence over its entry in the store. An earlier
+   * incarnation counts as a different server.
    */
   @Test
   public void aServerThatSaysItselfThatItLeavesIsNotBack() {
@@ -185,7 +188,7 @@
     assertEquals(usable(), List.of("e2"));
     book.replaceAll(List.of(engine("e2")), 4);
     book.storeReturned();
-    assertEquals(usable(), List.of("e2"), "lapsed");
+    assertEquals(usable(), List.of("e2"), "after its entry expired");
     loop.advance(30_000);
     book.forgetGone(20_000);
     book.storeRewound();
@@ -193,7 +196,10 @@
     assertEquals(usable(), List.of("e2"), "listed again by an older copy");
   }
 
-  /** Requests that fail at a server that announced its end need no further explanation. */
+  /**
+   * The end of a server that announced to leave is not reported as unannounced, so requests that
+   * fail there are not taken for the cause.
+   */
   @Test
   public void aServerThatSaidThatItLeavesIsAnnounced() {
     List<Backend> unannounced = new ArrayList<>();
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerLeavingTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerLeavingTest.java
@@ -26,7 +26,7 @@
  * platform's store says of them.
  *
  * <p>Failure: a server announced in an answer that it leaves, and got a request 3.4 s later from
- * the VM that had passed on that answer, where 2 s are allowed; another VM sent one after 6.6 s.
+ * the VM that had forwarded that answer, where 2 s are allowed; another VM sent one after 6.6 s.
  * The platform's store acknowledged nothing meanwhile, so the server's entry still said that it was
  * ready.
  *
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerLimitsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerLimitsTest.java
@@ -60,7 +60,7 @@
     assertEquals(limits.find(SERVER).windowMs(), 10_000);
   }
 
-  /** The latest statement of a server wins, whatever the order and repetition of reports. */
+  /** The latest report of a server wins, whatever the order and repetition of reports. */
   @Test
   public void theLaterWordCounts() {
     limits.heard(List.of(new LimitNews(SERVER, LimitNews.NONE, 100)));
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerRestPeriodTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerRestPeriodTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests the pause that a backend server requests from one VM, and the probe after it. */
+/** Tests the backoff that a backend server asks one VM for, and the trial request after it. */
 public final class ServerRestPeriodTest {
   private ServerRest rest = new ServerRest();
 
@@ -41,16 +41,16 @@
     assertEquals(rest.leftMs(5_000), 0);
   }
 
-  /** A single request probes the server after a pause, before many requests are rejected again. */
+  /** After a backoff a single trial request is sent first, so that not many are rejected again. */
   @Test
   public void afterItsRestAServerIsOnTrialUntilItAnswersWell() {
     assertFalse(rest.isLeftToOthers(1_000, true));
     rest.asked(3_000, 1_000);
     rest.proved(1_500);
-    assertFalse(rest.isLeftToOthers(3_999, true), "the pause is not over");
+    assertFalse(rest.isLeftToOthers(3_999, true), "the backoff is not over");
     assertTrue(rest.isLeftToOthers(4_000, true));
     assertFalse(rest.isLeftToOthers(4_000, false));
-    assertFalse(rest.isLeftToOthers(5_000, true), "no other request probed it in time");
+    assertFalse(rest.isLeftToOthers(5_000, true), "no other request became the trial in time");
     rest.proved(4_100);
     assertFalse(rest.isLeftToOthers(4_200, true));
   }
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerRestTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerRestTest.java
@@ -22,13 +22,13 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests that servers that reject requests and request a pause get no requests during the pause.
+ * Tests that servers that reject requests and ask for a backoff get no requests until it ends.
  *
- * <p>Guards against VMs that ignore the requested pause. A 503 lowered the preference for its
- * server for only 150 ms, nobody read the pause, and a server that rejects all requests looks idle.
- * Four of thirteen servers that rejected everything and requested 3 s got half of all requests, up
- * to 7 from one VM in 3 s, where 2 are allowed. Over a tenth of the callers were refused although
- * nine servers had capacity, most of them on a route that allows a single attempt.
+ * <p>Guards against VMs that ignore the backoff. A 503 lowered the preference for its server for
+ * only 150 ms, no VM read the backoff, and a server that rejects all requests looks idle. Four of
+ * thirteen servers that rejected everything and asked for a backoff of 3 s got half of all
+ * requests, up to 7 from one VM in 3 s, where 2 are allowed. Over a tenth of the callers were
+ * refused although nine servers had capacity, most of them on a route that allows a single attempt.
  */
 public final class ServerRestTest {
   private static final int VMS = 7;
@@ -40,7 +40,7 @@
   private static final long END_MS = 20_000;
   private static final int SEEDS = 10;
 
-  /** The time after a pause within which the server is used again. */
+  /** The time after a backoff within which the server is used again. */
   private static final long USED_AGAIN_MS = 2_000;
 
   /** The other servers have capacity for all requests. */
@@ -81,7 +81,8 @@
 
   /**
    * Nine of thirteen servers have capacity, and each request has a single attempt. When each VM had
-   * to find out on its own which servers had requested a pause, one caller in eight was not served.
+   * to find out on its own which servers had asked for a backoff, one caller in eight was not
+   * served.
    */
   @Test
   public void callersWithOneSendGoToTheOthers() {
@@ -98,7 +99,7 @@
     }
   }
 
-  /** Requests are refused immediately, and served again when the pause is over. */
+  /** Requests are refused immediately, and served again when the backoff is over. */
   @Test(dataProvider = "answers")
   public void whereAllRestCallersAreRefusedAtOnce(boolean saysNotRun) {
     for (int seed = 0; seed < SEEDS; seed++) {
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerRestartTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerRestartTest.java
@@ -155,7 +155,7 @@
     long home = backend("e1").idHash();
     startAgain("entry");
     assertEquals(world.peerLoads.running(backend("e1").startHash()), 0);
-    assertEquals(backend("e1").idHash(), home, "prompts keep their preferred server");
+    assertEquals(backend("e1").idHash(), home, "prompts keep their affinity server");
   }
 
   @DataProvider
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerRestsTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerRestsTest.java
@@ -24,7 +24,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests how one VM records and exchanges the pauses that servers request from any VM. */
+/** Tests how one VM records and exchanges the backoffs that servers ask any VM for. */
 public final class ServerRestsTest {
   private static final long SERVER = 42;
   private static final long LATER_MS = 1_000;
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ServingCost.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ServingCost.java
@@ -37,7 +37,7 @@
 
 /**
  * Benchmark, not a test: prints the CPU time per request on one VM of a large fleet, with 60
- * engines, 26 KV cache stores, load reports of all VMs in each round, and no sockets. The first
+ * engines, 26 part stores, load reports of all VMs in each round, and no sockets. The first
  * requests are measured separately, since a VM that has just started runs code that is not compiled
  * yet. Run it with the JVM flags of {@code deploy/system.toml}: {@code java -cp ... ServingCost
  * [REQUESTS]}.
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ServingWorld.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ServingWorld.java
@@ -56,7 +56,7 @@
    * Creates one VM of several.
    *
    * @param log receives its decisions
-   * @param address where it receives news from the other VMs
+   * @param address where it receives load reports from the other VMs
    * @param salt differs from VM to VM and from start to start
    */
   ServingWorld(ManualLoop loop, DecisionLog log, String address, long salt) {
@@ -179,7 +179,7 @@
         loop.millis());
   }
 
-  /** Names a version of the weights, which the VM learns of at once. */
+  /** Publishes a version of the weights, which the VM learns of at once. */
   void nameWeights(long version) {
     state.nameWeights(MODEL, version, version, loop.millis(), ServingState.Heard.WATCH);
   }
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/SharedEngines.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/SharedEngines.java
@@ -50,7 +50,7 @@
   final ManualLoop loop = new ManualLoop();
   final List<Call> calls = new ArrayList<>();
 
-  /** Share of the load updates between VMs that is lost. */
+  /** Share of the load reports between VMs that is lost. */
   double newsLost = 0.02;
 
   private final Random random;
@@ -165,7 +165,7 @@
     loop.advance(WARM_UP_MS);
   }
 
-  /** Isolates the last VM from the load updates of the others, in both directions. */
+  /** Isolates the last VM from the load reports of the others, in both directions. */
   void cutOne() {
     vms.get(vms.size() - 1).isCut = true;
   }
