--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/BackendHealth.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/BackendHealth.java
@@ -24,8 +24,8 @@
 import org.landingtrack.internal.serving.ServerChooser.Choice;
 
 /**
- * Reports the outcomes of attempts to the shared health data, and tells which backend servers are
- * ejected by it. Does nothing if operators disabled shared health. Not thread-safe; used on the
+ * Reports the outcomes of attempts to the shared health data, and determines which backend servers
+ * are ejected by it. Does nothing if operators disabled shared health. Not thread-safe; used on the
  * event loop only.
  */
 final class BackendHealth {
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/LinkBacklog.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/LinkBacklog.java
@@ -29,7 +29,7 @@
   private final List<Move> moves = new ArrayList<>();
 
   /**
-   * A transfer under way.
+   * A transfer in flight.
    *
    * @param owner the request that ordered it, compared by identity
    * @param linkMs the time for which it occupies the link
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerLimit.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerLimit.java
@@ -19,8 +19,8 @@
 import java.util.Deque;
 
 /**
- * The request limit that one incarnation of a backend server reported for all VMs together, and
- * this VM's recent sends. Not thread-safe.
+ * The request limit that one incarnation of a backend server reported for all VMs together, and the
+ * requests that this VM sent recently. Not thread-safe.
  */
 final class ServerLimit {
   /** Minimum length of the window within which a limit is shared among the VMs. */
@@ -105,9 +105,9 @@
   }
 
   /**
-   * Returns the window over which sends are counted. It is chosen so that the limit is a whole
-   * number of requests in it, because a fraction would be rounded up to a whole request in each
-   * window.
+   * Returns the window over which sent requests are counted. It is chosen so that the limit is a
+   * whole number of requests in it, because a fraction would be rounded up to a whole request in
+   * each window.
    */
   long windowMs() {
     return Math.round(inWindow() * MS_PER_SECOND / perSecond());
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/CrashingRequestTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/CrashingRequestTest.java
@@ -189,7 +189,8 @@
     planned.listener.broken("closed");
     world.book.remove(id, 4);
     assertEquals(world.state.quarantine().ends(DIGEST), 0);
-    assertEquals(world.transport.probes.size(), 2, "no probe after a planned shutdown");
+    assertEquals(
+        world.transport.probes.size(), 2, "no connection attempt after a planned shutdown");
   }
 
   /**
--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/PartRelayTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/PartRelayTest.java
@@ -176,7 +176,7 @@
     assertFalse(other.fetches());
     loop.advance(100);
     other.relay.heard(answer(1, 1, 1));
-    assertTrue(other.fetches(), "the store has just confirmed what it keeps");
+    assertTrue(other.fetches(), "the store has just confirmed what it stores");
   }
 
   /** Parts that only a full list shows are forwarded to the VMs that rely on this one. */
