--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/PartRelayTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/PartRelayTest.java
@@ -30,7 +30,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Updates of a KV store that one VM polls and forwards to others. */
+/** Tests the updates of a part store that one VM polls and forwards to others. */
 public final class PartRelayTest {
   private static final String ADDRESS = "10.0.0.9:80";
   private static final StoreInfo STORE =
@@ -176,7 +176,7 @@
     assertFalse(other.fetches());
     loop.advance(100);
     other.relay.heard(answer(1, 1, 1));
-    assertTrue(other.fetches(), "the store has just confirmed what it keeps");
+    assertTrue(other.fetches(), "the store has just confirmed what it stores");
   }
 
   /** Parts that only a full list shows are forwarded to the VMs that rely on this one. */
