--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerBookTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerBookTest.java
@@ -188,7 +188,7 @@
     assertEquals(usable(), List.of("e2"));
     book.replaceAll(List.of(engine("e2")), 4);
     book.storeReturned();
-    assertEquals(usable(), List.of("e2"), "after its entry expired");
+    assertEquals(usable(), List.of("e2"), "lapsed");
     loop.advance(30_000);
     book.forgetGone(20_000);
     book.storeRewound();
