--- a/bench/src/main/java/org/landingtrack/bench/ControlCommand.java
+++ b/bench/src/main/java/org/landingtrack/bench/ControlCommand.java
@@ -40,19 +40,19 @@
     DeploymentPlan plan =
         new DeploymentPlan.Builder().setControllers(4).setGateways(4).setEngines(4).build();
     try (Deployment deployment = Deployment.start(plan)) {
-      fill(deployment, objects);
+      writeObjects(deployment, objects);
       Thread.sleep(WARM_UP_S * 1_000L);
       ObjectNode result = Json.LENIENT.createObjectNode();
       result.put("objects", objects).put("controllers", 4);
-      result.set("at_rest", window(deployment, seconds, 0));
-      result.set("one_change_a_second", window(deployment, seconds, CHANGES_PER_SECOND));
+      result.set("at_rest", measure(deployment, seconds, 0));
+      result.set("one_change_a_second", measure(deployment, seconds, CHANGES_PER_SECOND));
       System.out.println(result);
     }
     return 0;
   }
 
   /** Writes models that nothing depends on; they stand in for objects of any kind. */
-  private static void fill(Deployment deployment, int objects) {
+  private static void writeObjects(Deployment deployment, int objects) {
     for (int i = 0; i < objects; i++) {
       deployment
           .objectApi()
@@ -69,18 +69,18 @@
     }
   }
 
-  private static ObjectNode window(Deployment deployment, int seconds, double changesPerSecond)
+  private static ObjectNode measure(Deployment deployment, int seconds, double changesPerSecond)
       throws InterruptedException {
-    double[] cpuBefore = cpu(deployment);
-    long[] callsBefore = deployment.objectApi().calls();
+    double[] cpuBefore = cpuSeconds(deployment);
+    long[] callsBefore = deployment.objectApi().callCounts();
     for (int second = 0; second < seconds; second++) {
       if (changesPerSecond > 0) {
-        change(deployment, second);
+        applyChange(deployment, second);
       }
       Thread.sleep(1_000);
     }
-    double[] cpuAfter = cpu(deployment);
-    long[] calls = deployment.objectApi().calls();
+    double[] cpuAfter = cpuSeconds(deployment);
+    long[] calls = deployment.objectApi().callCounts();
     ObjectNode result = Json.LENIENT.createObjectNode();
     ArrayNode shares = result.putArray("core_percent_by_controller");
     ArrayNode heap = result.putArray("heap_mb_by_controller");
@@ -94,7 +94,7 @@
     return result;
   }
 
-  private static void change(Deployment deployment, int number) {
+  private static void applyChange(Deployment deployment, int number) {
     ObjectNode document = Json.LENIENT.createObjectNode();
     ObjectNode object = document.putArray("objects").addObject();
     object.put("kind", "model").put("name", "changing");
@@ -111,7 +111,7 @@
     }
   }
 
-  private static double[] cpu(Deployment deployment) {
+  private static double[] cpuSeconds(Deployment deployment) {
     double[] seconds = new double[deployment.controllerCount()];
     for (int i = 0; i < seconds.length; i++) {
       seconds[i] = deployment.metric(deployment.controllerUrl(i), "cpu_seconds");
--- a/bench/src/main/java/org/landingtrack/bench/DeploymentPlan.java
+++ b/bench/src/main/java/org/landingtrack/bench/DeploymentPlan.java
@@ -53,8 +53,8 @@
     return builder.stores;
   }
 
-  int plains() {
-    return builder.plains;
+  int plainServers() {
+    return builder.plainServers;
   }
 
   EngineOptions engine() {
@@ -95,17 +95,18 @@
   List<ObjectNode> objects() {
     List<ObjectNode> objects = new ArrayList<>();
     for (String team : builder.teams) {
-      ObjectNode spec = add(objects, "team", team);
+      ObjectNode spec = addObject(objects, "team", team);
       spec.putArray("keySha256").add(Hashes.sha256Hex(teamKey(team)));
       spec.put("requestsPerSecond", builder.teamRate).put("burst", builder.teamRate);
       spec.put("concurrency", 10_000).put("weight", 1);
     }
-    add(objects, "model", "m").put("contextTokens", 1_000_000).put("kvBytesPerToken", 1_000);
+    addObject(objects, "model", "m").put("contextTokens", 1_000_000).put("kvBytesPerToken", 1_000);
     for (String version : builder.weightVersions) {
-      add(objects, "weight-version", version).put("model", "m").put("source", "w/" + version);
+      addObject(objects, "weight-version", version).put("model", "m").put("source", "w/" + version);
     }
-    service(add(objects, "service", "kept"), "store", 0);
-    ObjectNode llm = service(add(objects, "service", Deployment.LLM), "model", builder.maxQueue);
+    service(addObject(objects, "service", "kept"), "store", 0);
+    ObjectNode llm =
+        service(addObject(objects, "service", Deployment.LLM), "model", builder.maxQueue);
     llm.put("weightVersion", builder.engine.weightVersion());
     llm.put("weightTtft", builder.weightTtft);
     llm.put("weightRecompute", builder.weightRecompute);
@@ -114,15 +115,15 @@
     if (builder.stores > 0) {
       llm.put("store", "kept");
     }
-    service(add(objects, "service", Deployment.PORTAL), "plain", 100);
+    service(addObject(objects, "service", Deployment.PORTAL), "plain", 100);
     for (String team : builder.teams) {
-      rule(add(objects, "rule", team + "-llm"), team, Deployment.LLM);
-      rule(add(objects, "rule", team + "-portal"), team, Deployment.PORTAL);
+      rule(addObject(objects, "rule", team + "-llm"), team, Deployment.LLM);
+      rule(addObject(objects, "rule", team + "-portal"), team, Deployment.PORTAL);
     }
     return objects;
   }
 
-  private static ObjectNode add(List<ObjectNode> objects, String kind, String name) {
+  private static ObjectNode addObject(List<ObjectNode> objects, String kind, String name) {
     ObjectNode object = Json.LENIENT.createObjectNode();
     object.put("kind", kind).put("name", name);
     objects.add(object);
@@ -149,8 +150,8 @@
     private int gateways = 2;
     private int engines = 2;
     private int stores;
-    private int plains;
-    private EngineOptions engine = EngineOptions.small("v1");
+    private int plainServers;
+    private EngineOptions engine = EngineOptions.forTests("v1");
     private StoreServer.Options store =
         new StoreServer.Options(4_000_000_000L, 1_000_000_000L, 1_000_000, 500_000);
     private List<String> teams = List.of("quotes", "parcels");
@@ -187,8 +188,8 @@
       return this;
     }
 
-    public Builder setPlains(int number) {
-      plains = number;
+    public Builder setPlainServers(int number) {
+      plainServers = number;
       return this;
     }
 
@@ -243,7 +244,7 @@
     }
 
     /** Sets the cost weights of the model service and its link budget in bytes per second. */
-    public Builder setWeights(double ttft, double recompute, double link, long bytesPerSecond) {
+    public Builder setCostWeights(double ttft, double recompute, double link, long bytesPerSecond) {
       weightTtft = ttft;
       weightRecompute = recompute;
       weightLink = link;
--- a/bench/src/main/java/org/landingtrack/bench/LoadRun.java
+++ b/bench/src/main/java/org/landingtrack/bench/LoadRun.java
@@ -23,20 +23,20 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import org.landingtrack.bench.CallerClient.Answer;
-import org.landingtrack.bench.CallerClient.Ask;
+import org.landingtrack.bench.CallerClient.PromptRequest;
 
 /** Sends a workload to the gateways round-robin and records every answer. */
 final class LoadRun implements AutoCloseable {
-  private static final long READ_MS = 30_000;
+  private static final long READ_TIMEOUT_MS = 30_000;
   private static final int MAX_REQUESTS = 60_000;
 
   /** An answer with its request, and the request's planned send time in seconds from the start. */
-  record Timed(double atS, Ask ask, Answer answer) {}
+  record TimedAnswer(double sentAtS, PromptRequest request, Answer answer) {}
 
   private final List<String> gateways;
-  private final CallerClient client = new CallerClient(READ_MS);
+  private final CallerClient client = new CallerClient(READ_TIMEOUT_MS);
   private final ExecutorService threads = Executors.newCachedThreadPool();
-  private final List<Timed> answers = Collections.synchronizedList(new ArrayList<>());
+  private final List<TimedAnswer> answers = Collections.synchronizedList(new ArrayList<>());
   private final AtomicLong sent = new AtomicLong();
 
   LoadRun(List<String> gateways) {
@@ -46,12 +46,12 @@
   /**
    * Sends requests with limited concurrency and waits for their answers, which are not recorded.
    */
-  void warmUp(List<Ask> prompts, int concurrency) throws InterruptedException {
+  void warmUp(List<PromptRequest> prompts, int concurrency) throws InterruptedException {
     ExecutorService executor = Executors.newFixedThreadPool(concurrency);
     for (int i = 0; i < prompts.size(); i++) {
-      Ask prompt = prompts.get(i);
+      PromptRequest prompt = prompts.get(i);
       String gateway = gateways.get(i % gateways.size());
-      executor.execute(() -> client.ask(gateway, prompt));
+      executor.execute(() -> client.send(gateway, prompt));
     }
     executor.shutdown();
     if (!executor.awaitTermination(5, TimeUnit.MINUTES)) {
@@ -74,16 +74,17 @@
       if (waitNs > 0) {
         TimeUnit.NANOSECONDS.sleep(waitNs);
       }
-      Ask prompt = workload.next();
+      PromptRequest prompt = workload.nextRequest();
       String gateway = gateways.get((int) (sent.getAndIncrement() % gateways.size()));
       double sentAtS = startS + nextS;
-      threads.execute(() -> answers.add(new Timed(sentAtS, prompt, client.ask(gateway, prompt))));
-      nextS += workload.nextGapS(requestsPerSecond);
+      threads.execute(
+          () -> answers.add(new TimedAnswer(sentAtS, prompt, client.send(gateway, prompt))));
+      nextS += workload.nextInterarrivalS(requestsPerSecond);
     }
   }
 
   /** Waits for all outstanding answers and returns all of them. */
-  List<Timed> finish() throws InterruptedException {
+  List<TimedAnswer> finish() throws InterruptedException {
     threads.shutdown();
     if (!threads.awaitTermination(2, TimeUnit.MINUTES)) {
       throw new IllegalStateException(
--- a/bench/src/main/java/org/landingtrack/bench/PlainCaller.java
+++ b/bench/src/main/java/org/landingtrack/bench/PlainServiceClient.java
@@ -25,8 +25,8 @@
 import okhttp3.Response;
 
 /** Client that calls services of type plain through a gateway, as one team. Thread-safe. */
-public final class PlainCaller {
-  private static final MediaType TEXT = MediaType.get("text/plain");
+public final class PlainServiceClient {
+  private static final MediaType TEXT_TYPE = MediaType.get("text/plain");
 
   private final String gateway;
   private final String team;
@@ -36,7 +36,7 @@
           .retryOnConnectionFailure(false)
           .build();
 
-  public PlainCaller(String gateway, String team) {
+  public PlainServiceClient(String gateway, String team) {
     this.gateway = gateway;
     this.team = team;
   }
@@ -49,7 +49,7 @@
 
   /** Sends a POST that must run at most once, with a key that identifies it in retries. */
   public Reply post(String service, String path, String body, String requestKey) {
-    Request.Builder request = request(service, path).post(RequestBody.create(body, TEXT));
+    Request.Builder request = request(service, path).post(RequestBody.create(body, TEXT_TYPE));
     request.header("Landingtrack-No-Repeat", "true");
     request.header("Landingtrack-Request-Key", requestKey);
     return send(request.build());
@@ -69,7 +69,7 @@
   private Reply send(Request request) {
     try (Response response = client.newCall(request).execute()) {
       String text = response.body().string();
-      JsonNode error = Deployment.json(text).path("error");
+      JsonNode error = Deployment.parseJson(text).path("error");
       return new Reply(response.code(), error.path("kind").asText(), text);
     } catch (IOException e) {
       return new Reply(0, "CONNECTION", e.toString());
--- a/bench/src/main/java/org/landingtrack/bench/ProcessProbe.java
+++ b/bench/src/main/java/org/landingtrack/bench/ProcessProbe.java
@@ -23,11 +23,11 @@
 
 /** Reads the readiness and metrics of processes over HTTP, within 2 s per call. Thread-safe. */
 final class ProcessProbe {
-  private static final int CALL_S = 2;
-  private static final String PREFIX = "landingtrack_";
+  private static final int CALL_TIMEOUT_S = 2;
+  private static final String METRIC_PREFIX = "landingtrack_";
 
   private final OkHttpClient http =
-      new OkHttpClient.Builder().callTimeout(CALL_S, TimeUnit.SECONDS).build();
+      new OkHttpClient.Builder().callTimeout(CALL_TIMEOUT_S, TimeUnit.SECONDS).build();
 
   boolean isOk(String url) {
     try (Response response = get(url)) {
@@ -44,7 +44,7 @@
   double metric(String url, String name) {
     try (Response response = get(url + "/metrics")) {
       for (String line : response.body().string().split("\n", -1)) {
-        if (line.startsWith(PREFIX + name + " ")) {
+        if (line.startsWith(METRIC_PREFIX + name + " ")) {
           return Double.parseDouble(line.substring(line.lastIndexOf(' ') + 1));
         }
       }
--- a/bench/src/main/java/org/landingtrack/bench/Profile.java
+++ b/bench/src/main/java/org/landingtrack/bench/Profile.java
@@ -25,8 +25,8 @@
  *
  * @param documents number of long shared texts or records, over all teams
  * @param documentBytes length of a document
- * @param ownBytes length of the text that is unique to a request, for large requests
- * @param largeShare share of large requests
+ * @param uniqueBytes length of the text that is unique to a request, for large requests
+ * @param largeRequestShare share of large requests
  * @param requestsPerSecond arrival rate at 1×
  * @param skew exponent of the Zipf distribution of the documents' popularity; 0 for uniform
  */
@@ -36,8 +36,8 @@
     int engines,
     int documents,
     int documentBytes,
-    int ownBytes,
-    double largeShare,
+    int uniqueBytes,
+    double largeRequestShare,
     double requestsPerSecond,
     double skew,
     int answerTokens,
@@ -48,7 +48,7 @@
     double weightLink,
     long linkBytesPerSecond) {
 
-  private static final int KV_BYTES = 1_000;
+  private static final int KV_BYTES_PER_TOKEN = 1_000;
 
   /** Quoting: few large shared handbooks; time to first token has the highest weight. */
   public static final Profile KIGALI =
@@ -63,7 +63,7 @@
           8,
           0.5,
           12,
-          new EngineOptions(120, 0.05, 5, 8, 32, true, KV_BYTES, 800, "v1"),
+          new EngineOptions(120, 0.05, 5, 8, 32, true, KV_BYTES_PER_TOKEN, 800, "v1"),
           new StoreServer.Options(8_000_000_000L, 2_000_000_000L, 1_000_000, 2_000_000),
           1,
           0.002,
@@ -83,14 +83,14 @@
           12,
           0,
           12,
-          new EngineOptions(80, 0.05, 5, 8, 32, true, KV_BYTES, 800, "v1"),
+          new EngineOptions(80, 0.05, 5, 8, 32, true, KV_BYTES_PER_TOKEN, 800, "v1"),
           new StoreServer.Options(8_000_000_000L, 1_000_000_000L, 200_000, 400_000),
           0.2,
           0.05,
           0.5,
           120_000_000L);
 
-  static Profile of(String name) {
+  static Profile byName(String name) {
     return switch (name) {
       case "kigali" -> KIGALI;
       case "sasaki" -> SASAKI;
@@ -111,7 +111,7 @@
         .setPolicy(policy)
         .setSeed(seed)
         .setMaxQueue(24)
-        .setWeights(weightTtft, weightRecompute, weightLink, linkBytesPerSecond)
+        .setCostWeights(weightTtft, weightRecompute, weightLink, linkBytesPerSecond)
         .build();
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/admission/ConcurrencyLimit.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/admission/ConcurrencyLimit.java
@@ -28,18 +28,18 @@
   private static final double DECREASE = 0.8;
 
   /** Time that a request may wait at its server, whatever its own work. */
-  private static final double TOLERATED_MS = 50;
+  private static final double TOLERATED_WAIT_MS = 50;
 
   /** A request may also wait for the time of this many requests of its own size. */
-  private static final double TOLERATED_WORKS = 3;
+  private static final double TOLERATED_WORK_FACTOR = 3;
 
   private double limit = Double.MAX_VALUE;
   private long decreasedMs = Long.MIN_VALUE;
   private long windowStartMs;
-  private double waitedMs;
-  private double workedMs;
+  private double totalWaitMs;
+  private double totalWorkMs;
   private int samples;
-  private int mostRunning;
+  private int maxRunning;
 
   /**
    * Records that a request got its first token.
@@ -51,7 +51,7 @@
    *     since they do not show its effect
    * @param nowMs the current time
    */
-  public synchronized void observed(
+  public synchronized void recordFirstToken(
       double waitMs, double workMs, int running, long sentMs, long nowMs) {
     if (sentMs < decreasedMs) {
       return;
@@ -59,31 +59,31 @@
     if (samples == 0) {
       windowStartMs = nowMs;
     }
-    waitedMs += waitMs;
-    workedMs += workMs;
+    totalWaitMs += waitMs;
+    totalWorkMs += workMs;
     samples++;
-    mostRunning = Math.max(mostRunning, running);
+    maxRunning = Math.max(maxRunning, running);
     if (nowMs - windowStartMs >= WINDOW_MS) {
       endWindow(nowMs);
     }
   }
 
   private void endWindow(long nowMs) {
-    double tolerated = TOLERATED_MS + TOLERATED_WORKS * workedMs / samples;
-    if (waitedMs / samples > tolerated) {
-      limit = Math.max(1, Math.min(limit, mostRunning) * DECREASE);
+    double tolerated = TOLERATED_WAIT_MS + TOLERATED_WORK_FACTOR * totalWorkMs / samples;
+    if (totalWaitMs / samples > tolerated) {
+      limit = Math.max(1, Math.min(limit, maxRunning) * DECREASE);
       decreasedMs = nowMs;
-    } else if (mostRunning >= Math.floor(limit)) {
+    } else if (maxRunning >= Math.floor(limit)) {
       limit += 1;
     }
-    waitedMs = 0;
-    workedMs = 0;
+    totalWaitMs = 0;
+    totalWorkMs = 0;
     samples = 0;
-    mostRunning = 0;
+    maxRunning = 0;
   }
 
   /** Returns the current limit, bounded by {@code least} and {@code most}. */
-  public synchronized int between(int least, int most) {
+  public synchronized int boundedLimit(int least, int most) {
     return (int) Math.max(least, Math.min(most, limit));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/admission/FairQueue.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/admission/FairQueue.java
@@ -35,7 +35,7 @@
  */
 public final class FairQueue {
   private static final double SMOOTHING = 0.1;
-  private static final double FIRST_HOLD_MS = 500;
+  private static final double INITIAL_HOLD_MS = 500;
   private static final int MAX_RETRY_AFTER_S = 60;
 
   private final Ticker ticker;
@@ -49,7 +49,7 @@
   private double virtualTime;
   private long nextOrder;
   private int running;
-  private double holdMs = FIRST_HOLD_MS;
+  private double holdMs = INITIAL_HOLD_MS;
   private double firstTokenMs;
 
   private enum State {
@@ -87,14 +87,14 @@
   }
 
   /**
-   * Waits for a slot, at most until the deadline. After success {@link #leave} must be called.
+   * Waits for a slot, at most until the deadline. After success {@link #release} must be called.
    *
    * @param team the name of the team
    * @param weight the team's weight; the caller of this method doubles it for each step of priority
    * @param deadlineMs the deadline, by the clock of this queue
    * @throws LandingtrackException if the request is refused
    */
-  public synchronized void enter(String team, double weight, long deadlineMs)
+  public synchronized void acquire(String team, double weight, long deadlineMs)
       throws InterruptedException {
     if (running < slots.getAsInt() && waiting.isEmpty()) {
       running++;
@@ -191,14 +191,14 @@
   }
 
   /** Records that an admitted request has ended after {@code heldMs} and frees its slot. */
-  public synchronized void leave(long heldMs) {
+  public synchronized void release(long heldMs) {
     running--;
     holdMs += SMOOTHING * (heldMs - holdMs);
     admitNext();
   }
 
   /** Records the time that an admitted request took to its first token. */
-  public synchronized void firstTokenAfter(double ms) {
+  public synchronized void recordFirstToken(double ms) {
     firstTokenMs += SMOOTHING * (ms - firstTokenMs);
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/admission/ShareBook.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/admission/QuotaAllocator.java
@@ -29,7 +29,7 @@
  * their demand. The sum of the shares exceeds the limit only while a gateway's report of new
  * traffic is on its way. Thread-safe.
  */
-public final class ShareBook {
+public final class QuotaAllocator {
   /**
    * Validity of a report and of the share granted for it. The share of a gateway that does not
    * report again within this time is free.
@@ -40,27 +40,27 @@
    * Added to each reporting gateway's demand, as a fraction of an equal share, so that its traffic
    * can grow.
    */
-  private static final double SMALLEST_WANT = 0.1;
+  private static final double GROWTH_MARGIN = 0.1;
 
   private static final int MAX_TEAMS = 20_000;
 
-  private record Want(double share, long atMs) {}
+  private record GatewayDemand(double share, long atMs) {}
 
   /** The reported demand for one team's limit. */
-  private static final class Wants {
+  private static final class TeamDemand {
     private final long sinceMs;
-    private final Map<String, Want> byGateway = new HashMap<>();
+    private final Map<String, GatewayDemand> byGateway = new HashMap<>();
 
-    Wants(long sinceMs) {
+    TeamDemand(long sinceMs) {
       this.sinceMs = sinceMs;
     }
 
-    void forgetSilent(long nowMs) {
+    void removeExpired(long nowMs) {
       byGateway.values().removeIf(want -> nowMs - want.atMs >= VALID_MS);
     }
   }
 
-  private final Map<String, Wants> teams = new HashMap<>();
+  private final Map<String, TeamDemand> teams = new HashMap<>();
 
   /**
    * Records a gateway's demand for a team's limit and returns the share that it may use.
@@ -80,16 +80,16 @@
         return equalShare;
       }
     }
-    Wants wants = teams.computeIfAbsent(team, t -> new Wants(nowMs));
-    wants.forgetSilent(nowMs);
-    double ownDemand = Math.min(1, wanted) + SMALLEST_WANT * equalShare;
-    wants.byGateway.put(gateway, new Want(ownDemand, nowMs));
+    TeamDemand wants = teams.computeIfAbsent(team, t -> new TeamDemand(nowMs));
+    wants.removeExpired(nowMs);
+    double ownDemand = Math.min(1, wanted) + GROWTH_MARGIN * equalShare;
+    wants.byGateway.put(gateway, new GatewayDemand(ownDemand, nowMs));
     if (nowMs - wants.sinceMs < VALID_MS) {
       // Grants of a previous owner may still be in use; nothing is lent until they expire.
       return equalShare;
     }
     double sum = 0;
-    for (Want want : wants.byGateway.values()) {
+    for (GatewayDemand want : wants.byGateway.values()) {
       sum += want.share;
     }
     int notReporting = Math.max(0, gateways - wants.byGateway.size());
@@ -98,10 +98,10 @@
   }
 
   private void expire(long nowMs) {
-    Iterator<Wants> all = teams.values().iterator();
+    Iterator<TeamDemand> all = teams.values().iterator();
     while (all.hasNext()) {
-      Wants wants = all.next();
-      wants.forgetSilent(nowMs);
+      TeamDemand wants = all.next();
+      wants.removeExpired(nowMs);
       if (wants.byGateway.isEmpty()) {
         all.remove();
       }
--- a/landingtrack/src/main/java/org/landingtrack/internal/admission/TeamLimiter.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/admission/TeamLimiter.java
@@ -32,7 +32,7 @@
  */
 public final class TeamLimiter {
   /** Teams that use less than this part of an equal share are not reported. */
-  private static final double REPORTED_PART = 0.5;
+  private static final double MIN_REPORTED_SHARE = 0.5;
 
   private final Ticker ticker;
   private final Map<String, State> states = new ConcurrentHashMap<>();
@@ -43,17 +43,17 @@
    * This gateway's demand for a team's limit.
    *
    * @param team the name of the team
-   * @param wanted the share of the limit, from 0 to 1
+   * @param wantedShare the share of the limit, from 0 to 1
    */
-  public record Demand(String team, double wanted) {}
+  public record Demand(String team, double wantedShare) {}
 
   private static final class State {
     private Team team;
     private TokenBucket bucket;
     private int inFlight;
-    private int asked;
-    private int mostInFlight;
-    private double granted;
+    private int requests;
+    private int maxInFlight;
+    private double grantedShare;
     private long grantedUntilMs = Long.MIN_VALUE;
 
     State(Team team, TokenBucket bucket) {
@@ -68,22 +68,22 @@
   }
 
   /** Sets the number of live gateways that share the limits. */
-  public void sharedBy(int liveGateways) {
+  public void setGateways(int liveGateways) {
     gateways = Math.max(1, liveGateways);
   }
 
   /**
-   * Admits a request of a team. After success {@link #leave} must be called.
+   * Admits a request of a team. After success {@link #release} must be called.
    *
    * @throws LandingtrackException if the team has reached its rate or concurrency limit here
    */
-  public void enter(String name, Team team) {
+  public void acquire(String name, Team team) {
     long now = ticker.millis();
     State state = states.computeIfAbsent(name, n -> newState(team, now));
     synchronized (state) {
       state.team = team;
-      state.asked++;
-      state.mostInFlight = Math.max(state.mostInFlight, state.inFlight + 1);
+      state.requests++;
+      state.maxInFlight = Math.max(state.maxInFlight, state.inFlight + 1);
       double share = share(state, now);
       int concurrency = (int) Math.max(1, team.concurrency() * share);
       if (state.inFlight >= concurrency) {
@@ -112,11 +112,11 @@
   }
 
   private double share(State state, long now) {
-    return now < state.grantedUntilMs ? state.granted : 1.0 / gateways;
+    return now < state.grantedUntilMs ? state.grantedShare : 1.0 / gateways;
   }
 
   /** Records that a request of a team has ended. */
-  public void leave(String name) {
+  public void release(String name) {
     State state = states.get(name);
     if (state == null) {
       return;
@@ -134,20 +134,20 @@
     List<Demand> demands = new ArrayList<>();
     states.forEach(
         (name, state) -> {
-          double wanted = takeWanted(state, seconds);
-          if (wanted >= REPORTED_PART / gateways) {
+          double wanted = takeDemand(state, seconds);
+          if (wanted >= MIN_REPORTED_SHARE / gateways) {
             demands.add(new Demand(name, Math.min(1, wanted)));
           }
         });
     return demands;
   }
 
-  private static double takeWanted(State state, double seconds) {
+  private static double takeDemand(State state, double seconds) {
     synchronized (state) {
-      double ofRate = state.asked / seconds / Math.max(1e-9, state.team.requestsPerSecond());
-      double ofConcurrency = (double) state.mostInFlight / Math.max(1, state.team.concurrency());
-      state.asked = 0;
-      state.mostInFlight = state.inFlight;
+      double ofRate = state.requests / seconds / Math.max(1e-9, state.team.requestsPerSecond());
+      double ofConcurrency = (double) state.maxInFlight / Math.max(1, state.team.concurrency());
+      state.requests = 0;
+      state.maxInFlight = state.inFlight;
       return Math.max(ofRate, ofConcurrency);
     }
   }
@@ -160,7 +160,7 @@
         (name, state) -> {
           synchronized (state) {
             if (now < state.grantedUntilMs) {
-              shares.put(name, state.granted);
+              shares.put(name, state.grantedShare);
             }
           }
         });
@@ -169,16 +169,16 @@
 
   /**
    * Applies a share granted by the team's owner. It expires when the owner's record of it does,
-   * after {@link ShareBook#VALID_MS}.
+   * after {@link QuotaAllocator#VALID_MS}.
    */
-  public void granted(String name, double share) {
+  public void applyGrant(String name, double share) {
     State state = states.get(name);
     if (state == null) {
       return;
     }
     synchronized (state) {
-      state.granted = share;
-      state.grantedUntilMs = ticker.millis() + ShareBook.VALID_MS;
+      state.grantedShare = share;
+      state.grantedUntilMs = ticker.millis() + QuotaAllocator.VALID_MS;
     }
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/Duty.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/BoundedWorker.java
@@ -30,14 +30,14 @@
  * tasks at once, so that a slow worker never takes memory without bound. A task that throws is
  * logged and the worker goes on. Thread-safe.
  */
-public final class Duty implements AutoCloseable {
+public final class BoundedWorker implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("duty");
 
   private final String name;
   private final ThreadPoolExecutor executor;
   private final ScheduledExecutorService timer;
 
-  private Duty(String name, int queueCapacity) {
+  private BoundedWorker(String name, int queueCapacity) {
     this.name = name;
     this.executor =
         new ThreadPoolExecutor(
@@ -46,18 +46,18 @@
             0,
             TimeUnit.SECONDS,
             new ArrayBlockingQueue<>(queueCapacity),
-            daemon(name),
+            daemonThreadFactory(name),
             new ThreadPoolExecutor.AbortPolicy());
-    this.timer = Executors.newSingleThreadScheduledExecutor(daemon(name + "-timer"));
+    this.timer = Executors.newSingleThreadScheduledExecutor(daemonThreadFactory(name + "-timer"));
   }
 
   /** Starts a worker whose queue holds {@code queueCapacity} tasks. */
-  public static Duty start(String name, int queueCapacity) {
-    return new Duty(name, queueCapacity);
+  public static BoundedWorker start(String name, int queueCapacity) {
+    return new BoundedWorker(name, queueCapacity);
   }
 
   /** Returns a factory of daemon threads that all have the same name. */
-  public static ThreadFactory daemon(String name) {
+  public static ThreadFactory daemonThreadFactory(String name) {
     return task -> {
       Thread thread = new Thread(task, name);
       thread.setDaemon(true);
@@ -68,7 +68,7 @@
   /** Queues a task; returns false if the queue is full or the worker is closed. */
   public boolean offer(Runnable task) {
     try {
-      executor.execute(() -> runGuarded(task));
+      executor.execute(() -> runAndLogFailure(task));
       return true;
     } catch (RejectedExecutionException e) {
       return false;
@@ -79,13 +79,13 @@
    * Queues a task periodically, from one period after now. A run is skipped while the queue is
    * full.
    */
-  public Duty every(long periodMs, Runnable task) {
+  public BoundedWorker runPeriodically(long periodMs, Runnable task) {
     var unused =
         timer.scheduleWithFixedDelay(() -> offer(task), periodMs, periodMs, TimeUnit.MILLISECONDS);
     return this;
   }
 
-  private void runGuarded(Runnable task) {
+  private void runAndLogFailure(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/CountingRing.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/DropCountingAppender.java
@@ -24,10 +24,10 @@
  * an almost full one drops those below the level of warnings, so that room is left for warnings and
  * errors. Dropped events are counted. Thread-safe.
  */
-final class CountingRing extends AsyncAppender {
+final class DropCountingAppender extends AsyncAppender {
   private final AtomicLong dropped = new AtomicLong();
 
-  CountingRing(int queueSize) {
+  DropCountingAppender(int queueSize) {
     setQueueSize(queueSize);
     setNeverBlock(true);
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/Hashes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/Hashes.java
@@ -32,9 +32,9 @@
  */
 public final class Hashes {
   /** Low bits of a 64-bit hash beyond the 53 bits of precision of a double. */
-  private static final int UNUSED_BITS = 11;
+  private static final int DISCARDED_BITS = 11;
 
-  private static final double UNIT = 0x1.0p-53;
+  private static final double UNIT_SCALE = 0x1.0p-53;
 
   private Hashes() {}
 
@@ -57,13 +57,13 @@
    * Returns the hash of two hashes: the rendezvous weight of a node for a key, from the hashes of
    * both. Much cheaper than hashing the texts again for each pair.
    */
-  public static long weight(long keyHash, long nodeHash) {
+  public static long combine(long keyHash, long nodeHash) {
     return Hashing.komihash5_0().hashLongLongToLong(keyHash, nodeHash);
   }
 
   /** Maps a hash evenly to a number from 0 (inclusive) to 1 (exclusive). */
-  public static double unit(long hash) {
-    return (hash >>> UNUSED_BITS) * UNIT;
+  public static double toUnitInterval(long hash) {
+    return (hash >>> DISCARDED_BITS) * UNIT_SCALE;
   }
 
   /** Sorts nodes by rendezvous weight for a key, highest first; ties by name. */
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/HttpServers.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/HttpServers.java
@@ -63,7 +63,9 @@
                   });
               config.routes.get(
                   "/metrics",
-                  ctx -> ctx.contentType("text/plain; version=0.0.4").result(metrics.text()));
+                  ctx ->
+                      ctx.contentType("text/plain; version=0.0.4")
+                          .result(metrics.toPrometheusText()));
               more.accept(config);
             })
         .start(host, port);
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/Logs.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/Logs.java
@@ -32,14 +32,14 @@
  */
 public final class Logs {
   /** Events that may wait until standard output is read. */
-  private static final int RING_SIZE = 2_048;
+  private static final int QUEUE_SIZE = 2_048;
 
   /** Name of the logger for starts, stops and reloads of settings. */
-  private static final String PROCESS = "process";
+  private static final String PROCESS_LOGGER = "process";
 
   private static final String PATTERN = "%d{HH:mm:ss.SSS} %-5level [%logger] %msg%n";
 
-  private static volatile @Nullable CountingRing lines;
+  private static volatile @Nullable DropCountingAppender asyncAppender;
 
   private Logs() {}
 
@@ -74,7 +74,7 @@
    *
    * @param level a Logback level, for example {@code info}
    */
-  public static void configureLines(String level) {
+  public static void configureJsonLines(String level) {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
     context.reset();
     JsonLineEncoder encoder = new JsonLineEncoder();
@@ -84,33 +84,33 @@
     console.setContext(context);
     console.setEncoder(encoder);
     console.start();
-    CountingRing appender = new CountingRing(RING_SIZE);
+    DropCountingAppender appender = new DropCountingAppender(QUEUE_SIZE);
     appender.setContext(context);
     appender.addAppender(console);
     appender.start();
     ch.qos.logback.classic.Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
     root.addAppender(appender);
-    level(level);
-    lines = appender;
+    setLevel(level);
+    asyncAppender = appender;
     context.getLogger("io.netty").setLevel(Level.WARN);
   }
 
-  /** Returns how many lines were dropped so far; 0 without {@link #configureLines}. */
+  /** Returns how many lines were dropped so far; 0 without {@link #configureJsonLines}. */
   public static long droppedLines() {
-    CountingRing appender = lines;
+    DropCountingAppender appender = asyncAppender;
     return appender == null ? 0 : appender.dropped();
   }
 
   /** Sets the level of all loggers; starts, stops and reloads are logged at every level. */
-  public static void level(String level) {
+  public static void setLevel(String level) {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
     context.getLogger(Logger.ROOT_LOGGER_NAME).setLevel(Level.toLevel(level, Level.INFO));
-    context.getLogger(PROCESS).setLevel(Level.INFO);
+    context.getLogger(PROCESS_LOGGER).setLevel(Level.INFO);
   }
 
   /** Writes the queued lines, within a second at most. For the end of a process. */
   public static void flush() {
-    CountingRing appender = lines;
+    DropCountingAppender appender = asyncAppender;
     if (appender != null) {
       appender.stop();
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/Metrics.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/Metrics.java
@@ -70,7 +70,7 @@
   }
 
   /** Returns all metrics in the Prometheus text format. */
-  public String text() {
+  public String toPrometheusText() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     try {
       PrometheusTextFormatWriter.builder().build().write(out, registry.scrape());
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/Hangup.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/SighupHandler.java
@@ -23,22 +23,22 @@
  * Runs a task on SIGHUP, which ends a JVM by default. The JDK's class for signals is not part of
  * its public API, so it is called by reflection.
  */
-public final class Hangup {
-  private static final String SIGNAL = "sun.misc.Signal";
-  private static final String HANDLER = "sun.misc.SignalHandler";
+public final class SighupHandler {
+  private static final String SIGNAL_CLASS = "sun.misc.Signal";
+  private static final String HANDLER_CLASS = "sun.misc.SignalHandler";
 
-  private Hangup() {}
+  private SighupHandler() {}
 
   /** Runs the task at each SIGHUP from now on, on a thread of its own. Replaces an earlier task. */
-  public static void handle(Runnable task) {
+  public static void install(Runnable task) {
     try {
-      Class<?> signalClass = Class.forName(SIGNAL);
-      Class<?> handlerClass = Class.forName(HANDLER);
+      Class<?> signalClass = Class.forName(SIGNAL_CLASS);
+      Class<?> handlerClass = Class.forName(HANDLER_CLASS);
       Object proxy =
           Proxy.newProxyInstance(
-              Hangup.class.getClassLoader(),
+              SighupHandler.class.getClassLoader(),
               new Class<?>[] {handlerClass},
-              (self, method, args) -> answer(self, method, args, task));
+              (self, method, args) -> invokeProxy(self, method, args, task));
       Object sighup = signalClass.getConstructor(String.class).newInstance("HUP");
       Method handle = signalClass.getMethod("handle", signalClass, handlerClass);
       var unused = handle.invoke(null, sighup, proxy);
@@ -51,7 +51,7 @@
     }
   }
 
-  private static Object answer(Object self, Method method, Object[] args, Runnable task) {
+  private static Object invokeProxy(Object self, Method method, Object[] args, Runnable task) {
     return switch (method.getName()) {
       case "handle" -> {
         task.run();
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/SlidingCount.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/SlidingWindowCounter.java
@@ -22,7 +22,7 @@
  * together. Needs one number for each slot, and reads each of them for a sum. A time before the
  * newest one seen counts as the newest. Not thread-safe.
  */
-public final class SlidingCount {
+public final class SlidingWindowCounter {
   private final long slotMs;
   private final long[] counts;
   private long slot = Long.MIN_VALUE;
@@ -33,29 +33,29 @@
    * @param spanMs the longest window that will be asked for
    * @param slotMs length of a slot, and so the error of a sum
    */
-  public SlidingCount(long spanMs, long slotMs) {
+  public SlidingWindowCounter(long spanMs, long slotMs) {
     this.slotMs = slotMs;
     this.counts = new long[(int) (spanMs / slotMs) + 1];
   }
 
   /** Adds an amount at the given time. */
   public void add(long amount, long nowMs) {
-    moveTo(nowMs);
+    advanceTo(nowMs);
     counts[index(0)] += amount;
   }
 
   /** Returns the sum over the last {@code ms}, and over up to one slot before them. */
-  public long atLeast(long ms, long nowMs) {
+  public long sumRoundedUp(long ms, long nowMs) {
     return sum(ms / slotMs + 1, nowMs);
   }
 
   /** Returns the sum over the last {@code ms}, without up to one slot at their start. */
-  public long atMost(long ms, long nowMs) {
+  public long sumRoundedDown(long ms, long nowMs) {
     return sum(ms / slotMs, nowMs);
   }
 
   private long sum(long slots, long nowMs) {
-    moveTo(nowMs);
+    advanceTo(nowMs);
     long sum = 0;
     for (int slotsAgo = 0; slotsAgo < Math.min(counts.length, slots); slotsAgo++) {
       sum += counts[index(slotsAgo)];
@@ -67,7 +67,7 @@
     return (int) Math.floorMod(slot - slotsAgo, (long) counts.length);
   }
 
-  private void moveTo(long nowMs) {
+  private void advanceTo(long nowMs) {
     long currentSlot = Math.floorDiv(nowMs, slotMs);
     if (slot == Long.MIN_VALUE || currentSlot - slot >= counts.length) {
       Arrays.fill(counts, 0);
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/Awake.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/StallDetector.java
@@ -20,35 +20,35 @@
  * for how long the process has run since the last one. Data that is read right after a stall may
  * have waited in the socket buffers, so its age is unknown. Thread-safe.
  */
-public final class Awake {
+public final class StallDetector {
   /** Longest time between two ticks on a busy VM; a longer one is taken for a stall. */
-  private static final long GAP_MS = 500;
+  private static final long STALL_THRESHOLD_MS = 500;
 
   private final Ticker ticker;
-  private long tickMs;
-  private long sinceMs;
+  private long lastTickMs;
+  private long runningSinceMs;
 
-  public Awake(Ticker ticker) {
+  public StallDetector(Ticker ticker) {
     this.ticker = ticker;
-    this.tickMs = ticker.millis();
-    this.sinceMs = tickMs;
+    this.lastTickMs = ticker.millis();
+    this.runningSinceMs = lastTickMs;
   }
 
   /** Records that the process runs; must be called several times in half a second. */
   public synchronized void tick() {
     long nowMs = ticker.millis();
-    if (nowMs - tickMs > GAP_MS) {
-      sinceMs = nowMs;
+    if (nowMs - lastTickMs > STALL_THRESHOLD_MS) {
+      runningSinceMs = nowMs;
     }
-    tickMs = nowMs;
+    lastTickMs = nowMs;
   }
 
   /**
    * Returns for how many milliseconds the process has run without a stall; 0 if it may be coming
    * out of one.
    */
-  public synchronized long forMs() {
+  public synchronized long runningForMs() {
     long nowMs = ticker.millis();
-    return nowMs - tickMs > GAP_MS ? 0 : nowMs - sinceMs;
+    return nowMs - lastTickMs > STALL_THRESHOLD_MS ? 0 : nowMs - runningSinceMs;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/base/SuspensionAwareTicker.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/base/SuspensionAwareTicker.java
@@ -42,28 +42,28 @@
    * Interval at which the offset is updated, so that gradual corrections of the time of day (half a
    * millisecond per second at most) do not add up to the tolerance.
    */
-  private static final long FOLLOW_EVERY_MS = 1_000;
+  private static final long OFFSET_UPDATE_INTERVAL_MS = 1_000;
 
   /**
    * Longest time between the readings of the two clocks; a thread that was preempted between them
    * for longer reads them again.
    */
-  private static final long READING_MS = 1;
+  private static final long MAX_READ_GAP_MS = 1;
 
   private static final long NANOS_PER_MS = 1_000_000;
   private static final Logger log = LoggerFactory.getLogger("clock");
 
   private final LongSupplier steadyNanos;
   private final LongSupplier timeOfDayMs;
-  private volatile long aheadMs;
+  private volatile long clockOffsetMs;
   private volatile long suspendedMs;
-  private volatile long followedAtMs;
+  private volatile long offsetUpdatedAtMs;
 
   SuspensionAwareTicker(LongSupplier steadyNanos, LongSupplier timeOfDayMs) {
     this.steadyNanos = steadyNanos;
     this.timeOfDayMs = timeOfDayMs;
-    this.followedAtMs = steadyMs();
-    this.aheadMs = timeOfDayMs.getAsLong() - followedAtMs;
+    this.offsetUpdatedAtMs = steadyMs();
+    this.clockOffsetMs = timeOfDayMs.getAsLong() - offsetUpdatedAtMs;
   }
 
   private long steadyMs() {
@@ -73,23 +73,24 @@
   @Override
   public long millis() {
     long steadyMs = steadyMs();
-    long movedMs = timeOfDayMs.getAsLong() - steadyMs - aheadMs;
-    if (Math.abs(movedMs) > TOLERANCE_MS || steadyMs - followedAtMs >= FOLLOW_EVERY_MS) {
-      compare();
+    long movedMs = timeOfDayMs.getAsLong() - steadyMs - clockOffsetMs;
+    if (Math.abs(movedMs) > TOLERANCE_MS
+        || steadyMs - offsetUpdatedAtMs >= OFFSET_UPDATE_INTERVAL_MS) {
+      updateOffset();
     }
     return steadyMs + suspendedMs;
   }
 
-  private synchronized void compare() {
+  private synchronized void updateOffset() {
     long steadyMs;
     long offsetMs;
     do {
       steadyMs = steadyMs();
       offsetMs = timeOfDayMs.getAsLong() - steadyMs;
-    } while (steadyMs() - steadyMs > READING_MS);
-    long movedMs = offsetMs - aheadMs;
-    aheadMs = offsetMs;
-    followedAtMs = steadyMs;
+    } while (steadyMs() - steadyMs > MAX_READ_GAP_MS);
+    long movedMs = offsetMs - clockOffsetMs;
+    clockOffsetMs = offsetMs;
+    offsetUpdatedAtMs = steadyMs;
     if (movedMs > TOLERANCE_MS) {
       suspendedMs += movedMs;
       log.info("This VM was suspended for {} ms, or its clock was put forward.", movedMs);
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/WholeAnswer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/BufferedResponseWriter.java
@@ -19,13 +19,13 @@
 import org.landingtrack.internal.dispatch.DispatchReport;
 
 /** Buffers the tokens and sends the answer as one JSON body when it is complete. */
-final class WholeAnswer implements AnswerSink {
+final class BufferedResponseWriter implements ResponseWriter {
   private final Context ctx;
   private final String requestId;
   private final String model;
   private final StringBuilder text = new StringBuilder();
 
-  WholeAnswer(Context ctx, String requestId, String model) {
+  BufferedResponseWriter(Context ctx, String requestId, String model) {
     this.ctx = ctx;
     this.requestId = requestId;
     this.model = model;
@@ -37,8 +37,8 @@
   }
 
   @Override
-  public void end(DispatchReport report) {
+  public void finish(DispatchReport report) {
     ctx.contentType("application/json");
-    ctx.result(CallerAnswer.whole(requestId, model, text.toString(), report).toString());
+    ctx.result(ResponseBodies.completion(requestId, model, text.toString(), report).toString());
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/CallerApi.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/CallerApi.java
@@ -41,11 +41,11 @@
 import org.landingtrack.internal.dispatch.ModelRequest;
 import org.landingtrack.internal.dispatch.PlainDispatcher;
 import org.landingtrack.internal.dispatch.PlainDispatcher.PlainRequest;
-import org.landingtrack.internal.engine.CallerGoneException;
+import org.landingtrack.internal.engine.CallerDisconnectedException;
 import org.landingtrack.internal.engine.PlainCall;
 import org.landingtrack.internal.engine.PlainOutcome;
-import org.landingtrack.internal.explain.Explainer;
-import org.landingtrack.internal.explain.Trace;
+import org.landingtrack.internal.explain.ExplanationBuilder;
+import org.landingtrack.internal.explain.ExplanationStore;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -70,15 +70,15 @@
   private final Supplier<Catalog> catalog;
   private final BooleanSupplier accepting;
   private final TeamLimiter limiter;
-  private final ModelDispatcher models;
-  private final PlainDispatcher plains;
-  private final Explainer explainer;
-  private final RequestIds ids;
+  private final ModelDispatcher modelDispatcher;
+  private final PlainDispatcher plainDispatcher;
+  private final ExplanationStore explainer;
+  private final RequestIdGenerator requestIds;
   private final CallerLimits limits;
-  private final InFlight inFlight;
+  private final InFlightRequests inFlight;
   private final Ticker ticker;
-  private final Counter requests;
-  private final Histogram ttft;
+  private final Counter requestCounter;
+  private final Histogram ttftHistogram;
 
   /** Limits on what a caller may send, and the deadline of a request that names none. */
   public record CallerLimits(int maxBodyBytes, long bodyTimeoutMs, long defaultDeadlineMs) {}
@@ -89,51 +89,53 @@
       TeamLimiter limiter,
       ModelDispatcher modelDispatcher,
       PlainDispatcher plainDispatcher,
-      Explainer explainer,
-      RequestIds requestIds,
+      ExplanationStore explainer,
+      RequestIdGenerator requestIds,
       CallerLimits limits,
-      InFlight inFlight,
+      InFlightRequests inFlight,
       Ticker ticker,
       Metrics metrics) {
     this.catalog = catalog;
     this.accepting = accepting;
     this.limiter = limiter;
-    this.models = modelDispatcher;
-    this.plains = plainDispatcher;
+    this.modelDispatcher = modelDispatcher;
+    this.plainDispatcher = plainDispatcher;
     this.explainer = explainer;
-    this.ids = requestIds;
+    this.requestIds = requestIds;
     this.limits = limits;
     this.inFlight = inFlight;
     this.ticker = ticker;
-    this.requests =
+    this.requestCounter =
         metrics.counter(
             "landingtrack_requests", "Requests by service and outcome.", "service", "outcome");
-    this.ttft =
+    this.ttftHistogram =
         metrics.histogram(
             "landingtrack_ttft_seconds", "Time from arrival to first token.", "service");
   }
 
   /** Adds the routes of this interface to an HTTP server. */
   public void addRoutes(JavalinConfig config) {
-    config.routes.post("/v1/chat/completions", ctx -> handle(ctx, "chat", this::completion));
+    config.routes.post("/v1/chat/completions", ctx -> handle(ctx, "chat", this::handleCompletion));
     for (HandlerType method : PLAIN_METHODS) {
       config.routes.addHttpHandler(
-          method, "/services/{service}/<path>", ctx -> handle(ctx, "plain", this::plain));
+          method, "/services/{service}/<path>", ctx -> handle(ctx, "plain", this::handlePlainCall));
     }
   }
 
   /** Handles one request that counts as in flight. */
   @FunctionalInterface
-  private interface Step {
-    void run(Context ctx, String requestId, Trace trace) throws InterruptedException;
+  private interface RequestHandler {
+    void handle(Context ctx, String requestId, ExplanationBuilder trace)
+        throws InterruptedException;
   }
 
-  private void handle(Context ctx, String label, Step step) throws InterruptedException {
-    String id = ids.next();
+  private void handle(Context ctx, String label, RequestHandler step) throws InterruptedException {
+    String id = requestIds.next();
     ctx.header(CallerHeaders.REQUEST_ID, id);
-    Trace trace = new Trace();
-    if (!inFlight.tryEnter()) {
-      refuse(ctx, id, label, new LandingtrackException(ErrorKind.STOPPING, "this VM is stopping"));
+    ExplanationBuilder trace = new ExplanationBuilder();
+    if (!inFlight.tryAcquire()) {
+      sendError(
+          ctx, id, label, new LandingtrackException(ErrorKind.STOPPING, "this VM is stopping"));
       return;
     }
     try {
@@ -141,9 +143,9 @@
         throw new LandingtrackException(
             ErrorKind.NOT_READY, "this gateway has no configuration yet");
       }
-      step.run(ctx, id, trace);
+      step.handle(ctx, id, trace);
     } catch (LandingtrackException e) {
-      trace.say(
+      trace.add(
           "Answered with "
               + e.kind()
               + " ("
@@ -151,24 +153,24 @@
               + "): "
               + e.getMessage()
               + ".");
-      refuse(ctx, id, label, e);
-    } catch (CallerGoneException e) {
-      trace.say("The caller closed its connection; the attempt was cancelled.");
-      requests.labelValues(label, "CALLER_GONE").inc();
+      sendError(ctx, id, label, e);
+    } catch (CallerDisconnectedException e) {
+      trace.add("The caller closed its connection; the attempt was cancelled.");
+      requestCounter.labelValues(label, "CALLER_GONE").inc();
     } finally {
-      inFlight.leave();
-      explainer.note(id, trace.sentences());
+      inFlight.release();
+      explainer.add(id, trace.sentences());
     }
   }
 
-  private void refuse(Context ctx, String id, String label, LandingtrackException e) {
-    requests.labelValues(label, e.kind().name()).inc();
+  private void sendError(Context ctx, String id, String label, LandingtrackException e) {
+    requestCounter.labelValues(label, e.kind().name()).inc();
     log.debug("Request {} ended with {}: {}.", id, e.kind(), e.getMessage());
-    ObjectNode body = CallerAnswer.error(id, e);
+    ObjectNode body = ResponseBodies.error(id, e);
     if (ctx.res().isCommitted()) {
       // The stream has begun: send the error as an event and no end mark, so the answer counts as
       // incomplete.
-      SseWriter.tryError(ctx, body);
+      SseResponseWriter.trySendError(ctx, body);
       return;
     }
     if (e.retryAfterSeconds() > 0) {
@@ -180,7 +182,8 @@
   }
 
   /** An authenticated team with a service that a rule lets it use. */
-  private record Entry(String team, Team teamSpec, String serviceName, Service service, Rule rule) {
+  private record AuthorizedTeam(
+      String team, Team teamSpec, String serviceName, Service service, Rule rule) {
     double weight(int priority) {
       return teamSpec.weight() * (1 << Math.min(priority, rule.maxPriority()));
     }
@@ -204,7 +207,7 @@
    * Finds the service and the rule that lets the team use it. A service that the team may not use
    * gives the same error as one that does not exist.
    */
-  private Entry entry(String team, String serviceName, boolean model) {
+  private AuthorizedTeam authorize(String team, String serviceName, boolean model) {
     Catalog current = catalog.get();
     Team teamSpec = current.find(Kind.TEAM, team, Team.class).orElse(null);
     Service service = current.find(Kind.SERVICE, serviceName, Service.class).orElse(null);
@@ -215,10 +218,10 @@
       throw new LandingtrackException(
           ErrorKind.NOT_FOUND, "service '" + serviceName + "' does not exist");
     }
-    return new Entry(team, teamSpec, serviceName, service, rule);
+    return new AuthorizedTeam(team, teamSpec, serviceName, service, rule);
   }
 
-  private byte[] body(Context ctx) {
+  private byte[] readBody(Context ctx) {
     return BodyReader.read(
         ctx.bodyInputStream(),
         ctx.contentLength(),
@@ -227,17 +230,18 @@
         ticker);
   }
 
-  private static String keyHash(String team, String service, String requestKey) {
+  private static String hashRequestKey(String team, String service, String requestKey) {
     return requestKey.isEmpty()
         ? ""
         : Hashes.sha256Hex(team + "\n" + service + "\n" + requestKey).substring(0, 32);
   }
 
-  private void completion(Context ctx, String id, Trace trace) throws InterruptedException {
+  private void handleCompletion(Context ctx, String id, ExplanationBuilder trace)
+      throws InterruptedException {
     String team = authenticate(ctx);
     CallerHeaders headers = CallerHeaders.of(ctx, limits.defaultDeadlineMs());
-    ChatRequest chat = ChatRequest.parse(body(ctx));
-    Entry entry = entry(team, chat.model(), true);
+    ChatRequest chat = ChatRequest.parse(readBody(ctx));
+    AuthorizedTeam entry = authorize(team, chat.model(), true);
     ModelRequest request =
         new ModelRequest(
             id,
@@ -250,34 +254,36 @@
             headers.priority(),
             entry.weight(headers.priority()),
             headers.noRepeat(),
-            keyHash(team, entry.serviceName(), headers.requestKey()),
+            hashRequestKey(team, entry.serviceName(), headers.requestKey()),
             ticker.millis() + headers.deadlineMs());
-    trace.say("Team " + team + " asked service " + entry.serviceName() + ".");
-    limiter.enter(team, entry.teamSpec());
+    trace.add("Team " + team + " asked service " + entry.serviceName() + ".");
+    limiter.acquire(team, entry.teamSpec());
     try {
-      run(ctx, request, chat.stream(), trace);
+      runCompletion(ctx, request, chat.stream(), trace);
     } finally {
-      limiter.leave(team);
+      limiter.release(team);
     }
   }
 
-  private void run(Context ctx, ModelRequest request, boolean stream, Trace trace)
+  private void runCompletion(
+      Context ctx, ModelRequest request, boolean stream, ExplanationBuilder trace)
       throws InterruptedException {
-    AnswerSink sink =
+    ResponseWriter sink =
         stream
-            ? new SseWriter(ctx, request.id(), request.serviceName())
-            : new WholeAnswer(ctx, request.id(), request.serviceName());
-    DispatchReport report = models.run(request, sink, trace);
-    sink.end(report);
-    requests.labelValues(request.serviceName(), "WHOLE").inc();
-    ttft.labelValues(request.serviceName()).observe(report.ttftMs() / 1000);
+            ? new SseResponseWriter(ctx, request.id(), request.serviceName())
+            : new BufferedResponseWriter(ctx, request.id(), request.serviceName());
+    DispatchReport report = modelDispatcher.run(request, sink, trace);
+    sink.finish(report);
+    requestCounter.labelValues(request.serviceName(), "WHOLE").inc();
+    ttftHistogram.labelValues(request.serviceName()).observe(report.ttftMs() / 1000);
   }
 
-  private void plain(Context ctx, String id, Trace trace) throws InterruptedException {
+  private void handlePlainCall(Context ctx, String id, ExplanationBuilder trace)
+      throws InterruptedException {
     String team = authenticate(ctx);
     CallerHeaders headers = CallerHeaders.of(ctx, limits.defaultDeadlineMs());
-    Entry entry = entry(team, ctx.pathParam("service"), false);
-    byte[] body = body(ctx);
+    AuthorizedTeam entry = authorize(team, ctx.pathParam("service"), false);
+    byte[] body = readBody(ctx);
     String method = ctx.method().name();
     boolean isSafeMethod = method.equals("GET") || method.equals("HEAD");
     @Nullable String type = ctx.header("Content-Type");
@@ -298,18 +304,18 @@
             entry.weight(headers.priority()),
             call,
             isSafeMethod && !headers.noRepeat(),
-            keyHash(team, entry.serviceName(), headers.requestKey()),
+            hashRequestKey(team, entry.serviceName(), headers.requestKey()),
             ticker.millis() + headers.deadlineMs());
-    trace.say("Team " + team + " called plain service " + entry.serviceName() + ".");
-    limiter.enter(team, entry.teamSpec());
+    trace.add("Team " + team + " called plain service " + entry.serviceName() + ".");
+    limiter.acquire(team, entry.teamSpec());
     try {
-      PlainOutcome.Whole answer = plains.run(request, trace);
+      PlainOutcome.Whole answer = plainDispatcher.run(request, trace);
       ctx.status(answer.status());
       ctx.contentType(answer.contentType());
       ctx.result(answer.body());
-      requests.labelValues(entry.serviceName(), "WHOLE").inc();
+      requestCounter.labelValues(entry.serviceName(), "WHOLE").inc();
     } finally {
-      limiter.leave(team);
+      limiter.release(team);
     }
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/CallerHeaders.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/CallerHeaders.java
@@ -35,25 +35,25 @@
   static final String PRIORITY = "Landingtrack-Priority";
   static final String NO_REPEAT = "Landingtrack-No-Repeat";
   static final String REQUEST_KEY = "Landingtrack-Request-Key";
-  private static final int MAX_KEY = 200;
+  private static final int MAX_KEY_LENGTH = 200;
   private static final long MAX_DEADLINE_MS = 3_600_000;
 
   /** Reads the headers; throws {@code BAD_REQUEST} naming the header that is not valid. */
   static CallerHeaders of(Context ctx, long defaultDeadlineMs) {
-    long deadline = number(ctx, DEADLINE, defaultDeadlineMs, 1, MAX_DEADLINE_MS);
-    int priority = (int) number(ctx, PRIORITY, 0, 0, 9);
+    long deadline = parseNumber(ctx, DEADLINE, defaultDeadlineMs, 1, MAX_DEADLINE_MS);
+    int priority = (int) parseNumber(ctx, PRIORITY, 0, 0, 9);
     @Nullable String noRepeat = ctx.header(NO_REPEAT);
     if (noRepeat != null && !noRepeat.equals("true") && !noRepeat.equals("false")) {
-      throw bad(NO_REPEAT, "true or false");
+      throw invalidHeader(NO_REPEAT, "true or false");
     }
     @Nullable String key = ctx.header(REQUEST_KEY);
-    if (key != null && (key.isEmpty() || key.length() > MAX_KEY)) {
-      throw bad(REQUEST_KEY, "1 to " + MAX_KEY + " characters");
+    if (key != null && (key.isEmpty() || key.length() > MAX_KEY_LENGTH)) {
+      throw invalidHeader(REQUEST_KEY, "1 to " + MAX_KEY_LENGTH + " characters");
     }
     return new CallerHeaders(deadline, priority, "true".equals(noRepeat), key == null ? "" : key);
   }
 
-  private static long number(Context ctx, String name, long fallback, long min, long max) {
+  private static long parseNumber(Context ctx, String name, long fallback, long min, long max) {
     @Nullable String text = ctx.header(name);
     if (text == null) {
       return fallback;
@@ -66,10 +66,10 @@
     } catch (NumberFormatException e) {
       // The error below states the allowed range.
     }
-    throw bad(name, "a whole number from " + min + " to " + max);
+    throw invalidHeader(name, "a whole number from " + min + " to " + max);
   }
 
-  private static LandingtrackException bad(String name, String allowed) {
+  private static LandingtrackException invalidHeader(String name, String allowed) {
     return new LandingtrackException(
         ErrorKind.BAD_REQUEST, "header " + name + " must be " + allowed);
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/ChatRequest.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/ChatRequest.java
@@ -32,33 +32,33 @@
  */
 record ChatRequest(String model, JsonNode messages, String prompt, int maxTokens, boolean stream) {
   private static final int DEFAULT_MAX_TOKENS = 256;
-  private static final int MAX_MAX_TOKENS = 1_000_000;
+  private static final int MAX_TOKENS_LIMIT = 1_000_000;
   private static final int MAX_MESSAGES = 10_000;
 
   /** Parses a request body; throws {@code BAD_REQUEST} naming the field that is not valid. */
   static ChatRequest parse(byte[] body) {
-    JsonNode root = tree(body);
+    JsonNode root = parseJson(body);
     if (!root.isObject()) {
-      throw bad("the body must be a JSON object");
+      throw badRequest("the body must be a JSON object");
     }
     JsonNode model = root.path("model");
     if (!model.isTextual() || model.asText().isEmpty()) {
-      throw bad("'model' must name a service");
+      throw badRequest("'model' must name a service");
     }
     JsonNode stream = root.path("stream");
     if (!stream.isMissingNode() && !stream.isBoolean()) {
-      throw bad("'stream' must be true or false");
+      throw badRequest("'stream' must be true or false");
     }
     JsonNode messages = root.path("messages");
     return new ChatRequest(
         model.asText(), messages, prompt(messages), maxTokens(root), stream.asBoolean(false));
   }
 
-  private static JsonNode tree(byte[] body) {
+  private static JsonNode parseJson(byte[] body) {
     try {
       JsonNode root = Json.STRICT.readTree(body);
       if (root == null) {
-        throw bad("the body is empty");
+        throw badRequest("the body is empty");
       }
       return root;
     } catch (JsonProcessingException e) {
@@ -76,20 +76,20 @@
     if (node.isMissingNode()) {
       return DEFAULT_MAX_TOKENS;
     }
-    if (!node.isInt() || node.asInt() < 1 || node.asInt() > MAX_MAX_TOKENS) {
-      throw bad("'max_tokens' must be a whole number from 1 to " + MAX_MAX_TOKENS);
+    if (!node.isInt() || node.asInt() < 1 || node.asInt() > MAX_TOKENS_LIMIT) {
+      throw badRequest("'max_tokens' must be a whole number from 1 to " + MAX_TOKENS_LIMIT);
     }
     return node.asInt();
   }
 
   private static String prompt(JsonNode messages) {
     if (!messages.isArray() || messages.isEmpty() || messages.size() > MAX_MESSAGES) {
-      throw bad("'messages' must be a list of 1 to " + MAX_MESSAGES + " messages");
+      throw badRequest("'messages' must be a list of 1 to " + MAX_MESSAGES + " messages");
     }
     StringBuilder prompt = new StringBuilder();
     for (JsonNode message : messages) {
       if (!message.path("role").isTextual() || !message.path("content").isTextual()) {
-        throw bad("each message needs a text 'role' and a text 'content'");
+        throw badRequest("each message needs a text 'role' and a text 'content'");
       }
       prompt.append('<').append(message.path("role").asText()).append('>');
       prompt.append(message.path("content").asText()).append('\n');
@@ -97,7 +97,7 @@
     return prompt.toString();
   }
 
-  private static LandingtrackException bad(String message) {
+  private static LandingtrackException badRequest(String message) {
     return new LandingtrackException(ErrorKind.BAD_REQUEST, message);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/InFlight.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/InFlightRequests.java
@@ -19,26 +19,26 @@
  * Counts the requests in flight, limits them, and admits no more once a planned stop has begun.
  * Thread-safe.
  */
-public final class InFlight {
-  private final int max;
+public final class InFlightRequests {
+  private final int maxConcurrent;
   private int count;
   private boolean closed;
 
-  public InFlight(int maxConcurrent) {
-    this.max = maxConcurrent;
+  public InFlightRequests(int maxConcurrent) {
+    this.maxConcurrent = maxConcurrent;
   }
 
   /** Admits a request unless this is closed or the limit is reached; returns whether it did. */
-  synchronized boolean tryEnter() {
-    if (closed || count >= max) {
+  synchronized boolean tryAcquire() {
+    if (closed || count >= maxConcurrent) {
       return false;
     }
     count++;
     return true;
   }
 
-  /** Ends a request that {@link #tryEnter} admitted. */
-  synchronized void leave() {
+  /** Ends a request that {@link #tryAcquire} admitted. */
+  synchronized void release() {
     count--;
     notifyAll();
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/RequestIds.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/RequestIdGenerator.java
@@ -22,13 +22,13 @@
  * Generates request ids of the form {@code <vm>.<random>}, so that an id names the VM that received
  * the request. Thread-safe.
  */
-public final class RequestIds {
+public final class RequestIdGenerator {
   private static final int RANDOM_BYTES = 9;
 
   private final String vm;
   private final SecureRandom random = new SecureRandom();
 
-  public RequestIds(String vm) {
+  public RequestIdGenerator(String vm) {
     this.vm = vm;
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/CallerAnswer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/ResponseBodies.java
@@ -21,8 +21,8 @@
 import org.landingtrack.internal.dispatch.DispatchReport;
 
 /** Builds the JSON bodies of answers to callers. */
-final class CallerAnswer {
-  private CallerAnswer() {}
+final class ResponseBodies {
+  private ResponseBodies() {}
 
   /** Returns the body of an error answer: its kind, whether the request ran, when to retry. */
   static ObjectNode error(String requestId, LandingtrackException e) {
@@ -40,8 +40,8 @@
 
   /** Returns one chunk of a streamed answer. */
   static ObjectNode chunk(String requestId, String model, String text) {
-    ObjectNode body = head(requestId, "chat.completion.chunk", model);
-    ObjectNode choice = choice(body);
+    ObjectNode body = newBody(requestId, "chat.completion.chunk", model);
+    ObjectNode choice = addChoice(body);
     choice.putObject("delta").put("content", text);
     choice.putNull("finish_reason");
     return body;
@@ -49,34 +49,34 @@
 
   /** Returns the last chunk, which has the usage, the backend server and the attempts. */
   static ObjectNode lastChunk(String requestId, String model, DispatchReport report) {
-    ObjectNode body = head(requestId, "chat.completion.chunk", model);
-    ObjectNode choice = choice(body);
+    ObjectNode body = newBody(requestId, "chat.completion.chunk", model);
+    ObjectNode choice = addChoice(body);
     choice.putObject("delta");
     choice.put("finish_reason", "stop");
-    report(body, report);
+    addReport(body, report);
     return body;
   }
 
   /** Returns the body of an answer that is not streamed. */
-  static ObjectNode whole(String requestId, String model, String text, DispatchReport report) {
-    ObjectNode body = head(requestId, "chat.completion", model);
-    ObjectNode choice = choice(body);
+  static ObjectNode completion(String requestId, String model, String text, DispatchReport report) {
+    ObjectNode body = newBody(requestId, "chat.completion", model);
+    ObjectNode choice = addChoice(body);
     choice.putObject("message").put("role", "assistant").put("content", text);
     choice.put("finish_reason", "stop");
-    report(body, report);
+    addReport(body, report);
     return body;
   }
 
-  private static ObjectNode head(String requestId, String object, String model) {
+  private static ObjectNode newBody(String requestId, String object, String model) {
     ObjectNode body = Json.LENIENT.createObjectNode();
     return body.put("id", requestId).put("object", object).put("model", model);
   }
 
-  private static ObjectNode choice(ObjectNode body) {
+  private static ObjectNode addChoice(ObjectNode body) {
     return body.putArray("choices").addObject().put("index", 0);
   }
 
-  private static void report(ObjectNode body, DispatchReport report) {
+  private static void addReport(ObjectNode body, DispatchReport report) {
     ObjectNode usage = body.putObject("usage");
     usage.put("prompt_tokens", report.usage().promptTokens());
     usage.put("completion_tokens", report.usage().completionTokens());
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/AnswerSink.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/ResponseWriter.java
@@ -22,9 +22,9 @@
 /**
  * Sends the answer of a model to its caller, token by token or in one piece. Used by one thread.
  */
-interface AnswerSink extends TokenSink {
+interface ResponseWriter extends TokenSink {
   /** Completes the answer with its usage and how it came about. Not called if the request fails. */
-  void end(DispatchReport report);
+  void finish(DispatchReport report);
 
   @Override
   default void load(LoadReport report) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/caller/SseWriter.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/caller/SseResponseWriter.java
@@ -22,19 +22,19 @@
 import java.nio.charset.StandardCharsets;
 import org.jspecify.annotations.Nullable;
 import org.landingtrack.internal.dispatch.DispatchReport;
-import org.landingtrack.internal.engine.CallerGoneException;
+import org.landingtrack.internal.engine.CallerDisconnectedException;
 
 /**
  * Streams an answer to the caller, each token as a server-sent event. Throws {@link
- * CallerGoneException} when the caller has closed its connection.
+ * CallerDisconnectedException} when the caller has closed its connection.
  */
-final class SseWriter implements AnswerSink {
+final class SseResponseWriter implements ResponseWriter {
   private final Context ctx;
   private final String requestId;
   private final String model;
   private @Nullable OutputStream out;
 
-  SseWriter(Context ctx, String requestId, String model) {
+  SseResponseWriter(Context ctx, String requestId, String model) {
     this.ctx = ctx;
     this.requestId = requestId;
     this.model = model;
@@ -42,26 +42,26 @@
 
   @Override
   public void token(int offset, String text) {
-    send(CallerAnswer.chunk(requestId, model, text).toString());
+    sendEvent(ResponseBodies.chunk(requestId, model, text).toString());
   }
 
   @Override
-  public void end(DispatchReport report) {
-    send(CallerAnswer.lastChunk(requestId, model, report).toString());
-    send("[DONE]");
+  public void finish(DispatchReport report) {
+    sendEvent(ResponseBodies.lastChunk(requestId, model, report).toString());
+    sendEvent("[DONE]");
   }
 
-  private void send(String data) {
+  private void sendEvent(String data) {
     try {
-      OutputStream stream = open();
+      OutputStream stream = openStream();
       stream.write(("data: " + data + "\n\n").getBytes(StandardCharsets.UTF_8));
       stream.flush();
     } catch (IOException e) {
-      throw new CallerGoneException(e);
+      throw new CallerDisconnectedException(e);
     }
   }
 
-  private OutputStream open() throws IOException {
+  private OutputStream openStream() throws IOException {
     OutputStream existing = out;
     if (existing != null) {
       return existing;
@@ -75,7 +75,7 @@
   }
 
   /** Sends an error event on a stream that has begun, without the end mark {@code [DONE]}. */
-  static void tryError(Context ctx, ObjectNode body) {
+  static void trySendError(Context ctx, ObjectNode body) {
     try {
       OutputStream out = ctx.res().getOutputStream();
       out.write(("event: error\ndata: " + body + "\n\n").getBytes(StandardCharsets.UTF_8));
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/BackendServer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/BackendServer.java
@@ -38,11 +38,11 @@
 
   @Override
   public void check() {
-    Checks.name("service", service);
-    Checks.matches(
+    SpecChecks.name("service", service);
+    SpecChecks.matches(
         "address", address, "[0-9a-fA-F.:\\[\\]]+:[0-9]{1,5}", "an address such as 10.0.0.7:8000");
-    Checks.name("dataCentre", dataCentre);
-    Checks.range("maxConcurrent", maxConcurrent, 1, 100_000);
+    SpecChecks.name("dataCentre", dataCentre);
+    SpecChecks.range("maxConcurrent", maxConcurrent, 1, 100_000);
   }
 
   @Override
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/Catalog.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/Catalog.java
@@ -165,7 +165,7 @@
    */
   public void checkWrite(Kind kind, String name, Spec spec) {
     try {
-      Checks.name("name", name);
+      SpecChecks.name("name", name);
       spec.check();
     } catch (IllegalArgumentException e) {
       throw new LandingtrackException(
@@ -183,7 +183,7 @@
 
   private void checkUnique(Kind kind, String name, Spec spec) {
     if (spec instanceof Team team) {
-      checkKeysUnique(name, team);
+      checkApiKeysUnique(name, team);
     }
     if (!(spec instanceof Rule rule)) {
       return;
@@ -205,7 +205,7 @@
     }
   }
 
-  private void checkKeysUnique(String name, Team team) {
+  private void checkApiKeysUnique(String name, Team team) {
     for (String hash : team.keySha256()) {
       String owner = teamByKey.get(hash);
       if (owner != null && !owner.equals(name)) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/Model.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/Model.java
@@ -31,8 +31,8 @@
 
   @Override
   public void check() {
-    Checks.range("contextTokens", contextTokens, 1, 100_000_000);
-    Checks.range("kvBytesPerToken", kvBytesPerToken, 1, 100_000_000);
+    SpecChecks.range("contextTokens", contextTokens, 1, 100_000_000);
+    SpecChecks.range("kvBytesPerToken", kvBytesPerToken, 1, 100_000_000);
   }
 
   @Override
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/Rule.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/Rule.java
@@ -31,9 +31,9 @@
 
   @Override
   public void check() {
-    Checks.name("team", team);
-    Checks.name("service", service);
-    Checks.range("maxPriority", maxPriority, 0, 9);
+    SpecChecks.name("team", team);
+    SpecChecks.name("service", service);
+    SpecChecks.range("maxPriority", maxPriority, 0, 9);
   }
 
   @Override
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/Service.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/Service.java
@@ -47,19 +47,19 @@
 
   @Override
   public void check() {
-    Checks.matches("type", type, "model|plain|store", "model, plain or store");
+    SpecChecks.matches("type", type, "model|plain|store", "model, plain or store");
     if (isModel() && weightVersion == null) {
       throw new IllegalArgumentException("weightVersion must be given for type model");
     }
     if (!isModel() && weightVersion != null) {
       throw new IllegalArgumentException("weightVersion is only for type model");
     }
-    Checks.range("weightTtft", weightTtft, 0, 1e6);
-    Checks.range("weightRecompute", weightRecompute, 0, 1e6);
-    Checks.range("weightLink", weightLink, 0, 1e6);
-    Checks.range("linkBytesPerSecond", (double) linkBytesPerSecond, 0, 1e13);
-    Checks.range("maxQueue", maxQueue, 0, 100_000);
-    Checks.range("retryPercent", retryPercent, 0, 100);
+    SpecChecks.range("weightTtft", weightTtft, 0, 1e6);
+    SpecChecks.range("weightRecompute", weightRecompute, 0, 1e6);
+    SpecChecks.range("weightLink", weightLink, 0, 1e6);
+    SpecChecks.range("linkBytesPerSecond", (double) linkBytesPerSecond, 0, 1e13);
+    SpecChecks.range("maxQueue", maxQueue, 0, 100_000);
+    SpecChecks.range("retryPercent", retryPercent, 0, 100);
   }
 
   /** Returns true if requests run on model engines. */
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/Checks.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/SpecChecks.java
@@ -21,10 +21,10 @@
  * Checks of single values in specs. A failed check throws {@link IllegalArgumentException} with the
  * key, the allowed values and the value.
  */
-final class Checks {
+final class SpecChecks {
   private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,62}");
 
-  private Checks() {}
+  private SpecChecks() {}
 
   static void name(String key, String value) {
     if (!NAME.matcher(value).matches()) {
@@ -39,7 +39,7 @@
   static void range(String key, double value, double min, double max) {
     if (!(value >= min && value <= max)) {
       throw new IllegalArgumentException(
-          key + " must be from " + plain(min) + " to " + plain(max) + ", not " + plain(value));
+          key + " must be from " + format(min) + " to " + format(max) + ", not " + format(value));
     }
   }
 
@@ -49,7 +49,7 @@
     }
   }
 
-  private static String plain(double value) {
+  private static String format(double value) {
     return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
   }
 }
