--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/StoredEntry.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/StoredEntry.java
@@ -32,7 +32,7 @@
 public record StoredEntry(
     Kind kind, String name, long version, @Nullable JsonNode spec, List<Change> audit) {
   /** Maximum number of changes in an entry; a new change drops the oldest ones. */
-  public static final int MAX_AUDIT = 200;
+  public static final int MAX_AUDIT_CHANGES = 200;
 
   /**
    * Maximum number of characters of the contents in the changes; a value of the platform is at most
@@ -74,7 +74,7 @@
     changes.add(change);
     long chars = 0;
     int from = changes.size();
-    while (from > 0 && changes.size() - from < MAX_AUDIT) {
+    while (from > 0 && changes.size() - from < MAX_AUDIT_CHANGES) {
       chars += changes.get(from - 1).chars();
       if (chars > MAX_AUDIT_CHARS && from < changes.size()) {
         break;
@@ -104,7 +104,7 @@
   }
 
   /** Returns true if the audit trail contains a change with this id. */
-  public boolean holdsChange(String changeId) {
+  public boolean hasChange(String changeId) {
     for (Change change : audit) {
       if (change.changeId().equals(changeId)) {
         return true;
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/Team.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/Team.java
@@ -38,12 +38,12 @@
   @Override
   public void check() {
     for (String hash : keySha256) {
-      Checks.matches("keySha256", hash, "[0-9a-f]{64}", "64 hex digits");
+      SpecChecks.matches("keySha256", hash, "[0-9a-f]{64}", "64 hex digits");
     }
-    Checks.range("requestsPerSecond", requestsPerSecond, 0.1, 100_000);
-    Checks.range("burst", burst, 1, 100_000);
-    Checks.range("concurrency", concurrency, 1, 100_000);
-    Checks.range("weight", weight, 0.01, 1_000);
+    SpecChecks.range("requestsPerSecond", requestsPerSecond, 0.1, 100_000);
+    SpecChecks.range("burst", burst, 1, 100_000);
+    SpecChecks.range("concurrency", concurrency, 1, 100_000);
+    SpecChecks.range("weight", weight, 0.01, 1_000);
   }
 
   @Override
--- a/landingtrack/src/main/java/org/landingtrack/internal/catalog/WeightVersion.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/catalog/WeightVersion.java
@@ -30,8 +30,8 @@
 
   @Override
   public void check() {
-    Checks.name("model", model);
-    Checks.matches("source", source, ".{1,500}", "1 to 500 characters");
+    SpecChecks.name("model", model);
+    SpecChecks.matches("source", source, ".{1,500}", "1 to 500 characters");
   }
 
   @Override
--- a/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimCommitter.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimCommitter.java
@@ -22,12 +22,12 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.LongSupplier;
-import org.landingtrack.internal.base.Duty;
+import org.landingtrack.internal.base.BoundedWorker;
 import org.landingtrack.internal.base.Json;
+import org.landingtrack.internal.claim.ClaimShard.ClaimRequest;
+import org.landingtrack.internal.claim.ClaimShard.ClaimResult;
 import org.landingtrack.internal.claim.ClaimShard.Commit;
 import org.landingtrack.internal.claim.ClaimShard.Outcome;
-import org.landingtrack.internal.claim.ClaimShard.Verdict;
-import org.landingtrack.internal.claim.ClaimShard.Wish;
 import org.landingtrack.internal.platform.ObjectApi;
 import org.landingtrack.internal.platform.ObjectApi.CallClass;
 import org.landingtrack.internal.platform.PlatformException;
@@ -45,26 +45,26 @@
  */
 public final class ClaimCommitter implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("claim");
-  private static final int MAX_WAITING = 4_096;
-  private static final int MAX_TRIES = 6;
+  private static final int MAX_PENDING = 4_096;
+  private static final int MAX_ATTEMPTS = 6;
 
   /** Minimum interval between commits of a shard; keeps 16 shards below 80 writes a second. */
-  private static final long MIN_GAP_MS = 200;
+  private static final long MIN_COMMIT_INTERVAL_MS = 200;
 
-  private static final Verdict UNAVAILABLE = new Verdict(Outcome.UNAVAILABLE, "");
+  private static final ClaimResult UNAVAILABLE = new ClaimResult(Outcome.UNAVAILABLE, "");
 
   private final ObjectApi api;
   private final String key;
   private final LongSupplier wallClock;
-  private final Duty duty;
-  private final List<Waiting> waiting = new ArrayList<>();
-  private final Set<String> abandoned = new HashSet<>();
-  private boolean scheduled;
-  private long lastCommitNanos = System.nanoTime() - MIN_GAP_MS * 1_000_000;
-  private ClaimShard known = ClaimShard.empty();
-  private long knownVersion = -1;
+  private final BoundedWorker duty;
+  private final List<PendingClaim> pending = new ArrayList<>();
+  private final Set<String> releasedRequestIds = new HashSet<>();
+  private boolean commitScheduled;
+  private long lastCommitNanos = System.nanoTime() - MIN_COMMIT_INTERVAL_MS * 1_000_000;
+  private ClaimShard cachedShard = ClaimShard.empty();
+  private long cachedVersion = -1;
 
-  private record Waiting(Wish wish, CompletableFuture<Verdict> verdict) {}
+  private record PendingClaim(ClaimRequest request, CompletableFuture<ClaimResult> result) {}
 
   /**
    * Creates a committer with a thread of its own.
@@ -76,23 +76,23 @@
     this.api = api;
     this.key = "claims/" + shard;
     this.wallClock = wallClock;
-    this.duty = Duty.start("claim-" + shard, 16);
+    this.duty = BoundedWorker.start("claim-" + shard, 16);
   }
 
   /**
    * Requests a claim. The future never fails; its outcome is UNAVAILABLE if too many claims wait or
    * the commit is not confirmed.
    */
-  public CompletableFuture<Verdict> claim(Wish request) {
-    CompletableFuture<Verdict> result = new CompletableFuture<>();
-    synchronized (waiting) {
-      if (waiting.size() >= MAX_WAITING) {
+  public CompletableFuture<ClaimResult> claim(ClaimRequest request) {
+    CompletableFuture<ClaimResult> result = new CompletableFuture<>();
+    synchronized (pending) {
+      if (pending.size() >= MAX_PENDING) {
         result.complete(UNAVAILABLE);
         return result;
       }
-      waiting.add(new Waiting(request, result));
-      if (!scheduled) {
-        scheduled = duty.offer(this::commitWaiting);
+      pending.add(new PendingClaim(request, result));
+      if (!commitScheduled) {
+        commitScheduled = duty.offer(this::commitPending);
       }
     }
     return result;
@@ -104,47 +104,48 @@
    * claimed until the claim expires.
    */
   public void release(String requestId) {
-    synchronized (waiting) {
-      if (abandoned.size() >= MAX_WAITING) {
+    synchronized (pending) {
+      if (releasedRequestIds.size() >= MAX_PENDING) {
         return;
       }
-      abandoned.add(requestId);
-      if (!scheduled) {
-        scheduled = duty.offer(this::commitWaiting);
+      releasedRequestIds.add(requestId);
+      if (!commitScheduled) {
+        commitScheduled = duty.offer(this::commitPending);
       }
     }
   }
 
-  private void commitWaiting() {
-    pace();
-    List<Waiting> batch;
+  private void commitPending() {
+    throttle();
+    List<PendingClaim> batch;
     Set<String> released;
-    synchronized (waiting) {
-      batch = List.copyOf(waiting);
-      released = Set.copyOf(abandoned);
-      waiting.clear();
-      scheduled = false;
+    synchronized (pending) {
+      batch = List.copyOf(pending);
+      released = Set.copyOf(releasedRequestIds);
+      pending.clear();
+      commitScheduled = false;
     }
-    List<Verdict> results = commit(batch.stream().map(Waiting::wish).toList(), released);
+    List<ClaimResult> results =
+        commit(batch.stream().map(PendingClaim::request).toList(), released);
     for (int i = 0; i < batch.size(); i++) {
-      Waiting claim = batch.get(i);
-      claim.verdict.complete(results.get(i));
+      PendingClaim claim = batch.get(i);
+      claim.result.complete(results.get(i));
     }
   }
 
   /**
-   * Sleeps for the rest of {@link #MIN_GAP_MS} since the last commit. This keeps all shards
-   * together below the platform's write rate: a busy shard collects claims for a moment instead of
-   * being rejected by the platform. An idle shard commits at once.
+   * Sleeps for the rest of {@link #MIN_COMMIT_INTERVAL_MS} since the last commit. This keeps all
+   * shards together below the platform's write rate: a busy shard collects claims for a moment
+   * instead of being rejected by the platform. An idle shard commits at once.
    */
-  private void pace() {
+  private void throttle() {
     long sinceMs = (System.nanoTime() - lastCommitNanos) / 1_000_000;
     lastCommitNanos = System.nanoTime();
-    if (sinceMs >= MIN_GAP_MS) {
+    if (sinceMs >= MIN_COMMIT_INTERVAL_MS) {
       return;
     }
     try {
-      Thread.sleep(MIN_GAP_MS - sinceMs);
+      Thread.sleep(MIN_COMMIT_INTERVAL_MS - sinceMs);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -157,22 +158,22 @@
    * time asks the next controller and runs the request if that one confirms the claim. Only {@link
    * #release} states that a request never runs.
    */
-  List<Verdict> commit(List<Wish> requests, Set<String> released) {
-    for (int attempts = 0; attempts < MAX_TRIES; attempts++) {
+  List<ClaimResult> commit(List<ClaimRequest> requests, Set<String> released) {
+    for (int attempts = 0; attempts < MAX_ATTEMPTS; attempts++) {
       try {
-        if (knownVersion < 0) {
-          readBack();
+        if (cachedVersion < 0) {
+          reload();
         }
-        ClaimShard base = known.without(released);
+        ClaimShard base = cachedShard.withoutRequests(released);
         Commit commit = base.decide(requests, wallClock.getAsLong());
         // Without a change the results depend only on committed claims; no write is needed.
-        if (commit.changed() || base.claims().size() != known.claims().size()) {
+        if (commit.changed() || base.claims().size() != cachedShard.claims().size()) {
           write(commit.next());
         }
-        forgetReleased(released);
-        return commit.verdicts();
+        clearReleased(released);
+        return commit.results();
       } catch (PlatformException e) {
-        knownVersion = -1;
+        cachedVersion = -1;
         if (e.reason() == PlatformException.Reason.UNAVAILABLE) {
           log.warn("Claims of {} cannot be committed: {}.", key, e.getMessage());
           break;
@@ -184,24 +185,24 @@
   }
 
   private void write(ClaimShard next) {
-    StoredObject written = api.write(CallClass.CLAIM, key, Json.write(next), knownVersion);
-    known = next;
-    knownVersion = written.version();
+    StoredObject written = api.write(CallClass.CLAIM, key, Json.write(next), cachedVersion);
+    cachedShard = next;
+    cachedVersion = written.version();
   }
 
-  private void forgetReleased(Set<String> released) {
-    synchronized (waiting) {
-      abandoned.removeAll(released);
+  private void clearReleased(Set<String> released) {
+    synchronized (pending) {
+      releasedRequestIds.removeAll(released);
     }
   }
 
-  private void readBack() {
+  private void reload() {
     Optional<StoredObject> stored = api.read(CallClass.CLAIM, key);
-    known =
+    cachedShard =
         stored
             .map(object -> Json.read(key, object.value(), ClaimShard.class))
             .orElseGet(ClaimShard::empty);
-    knownVersion = stored.map(StoredObject::version).orElse(ObjectApi.ABSENT);
+    cachedVersion = stored.map(StoredObject::version).orElse(ObjectApi.ABSENT);
   }
 
   @Override
--- a/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimShard.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimShard.java
@@ -33,7 +33,7 @@
   public static final int MAX_CLAIMS = 8_000;
 
   /** How long a key stays claimed in milliseconds, by the committers' wall clocks. */
-  public static final long KEEP_MS = 15 * 60_000;
+  public static final long CLAIM_TTL_MS = 15 * 60_000;
 
   /**
    * The claim of a key.
@@ -59,26 +59,26 @@
    * A requested claim.
    *
    * @param keyHash hash of the request key
-   * @param by id of the request
+   * @param requestId id of the request
    */
-  public record Wish(String keyHash, String by) {}
+  public record ClaimRequest(String keyHash, String requestId) {}
 
   /**
    * The result of a requested claim.
    *
-   * @param by id of the request that holds the key if the outcome is CLAIMED or TAKEN; empty
+   * @param holder id of the request that holds the key if the outcome is CLAIMED or TAKEN; empty
    *     otherwise
    */
-  public record Verdict(Outcome outcome, String by) {}
+  public record ClaimResult(Outcome outcome, String holder) {}
 
   /**
    * The decision on a batch of requested claims.
    *
    * @param next the shard with the new claims and without the expired ones
-   * @param verdicts results in the order of the requested claims
+   * @param results results in the order of the requested claims
    * @param changed true if there are new claims
    */
-  public record Commit(ClaimShard next, List<Verdict> verdicts, boolean changed) {}
+  public record Commit(ClaimShard next, List<ClaimResult> results, boolean changed) {}
 
   /** Returns a shard without claims. */
   public static ClaimShard empty() {
@@ -86,26 +86,26 @@
   }
 
   /** Decides on a batch of requested claims; the first request for a free key gets it. */
-  public Commit decide(List<Wish> requests, long nowMs) {
+  public Commit decide(List<ClaimRequest> requests, long nowMs) {
     Map<String, Claim> next = new LinkedHashMap<>();
     claims.forEach(
         (key, claim) -> {
-          if (nowMs - claim.at() < KEEP_MS) {
+          if (nowMs - claim.at() < CLAIM_TTL_MS) {
             next.put(key, claim);
           }
         });
-    List<Verdict> results = new ArrayList<>(requests.size());
+    List<ClaimResult> results = new ArrayList<>(requests.size());
     boolean changed = false;
-    for (Wish request : requests) {
+    for (ClaimRequest request : requests) {
       Claim known = next.get(request.keyHash());
       if (known != null) {
-        Outcome outcome = known.by().equals(request.by()) ? Outcome.CLAIMED : Outcome.TAKEN;
-        results.add(new Verdict(outcome, known.by()));
+        Outcome outcome = known.by().equals(request.requestId()) ? Outcome.CLAIMED : Outcome.TAKEN;
+        results.add(new ClaimResult(outcome, known.by()));
       } else if (next.size() >= MAX_CLAIMS) {
-        results.add(new Verdict(Outcome.FULL, ""));
+        results.add(new ClaimResult(Outcome.FULL, ""));
       } else {
-        next.put(request.keyHash(), new Claim(request.by(), nowMs));
-        results.add(new Verdict(Outcome.CLAIMED, request.by()));
+        next.put(request.keyHash(), new Claim(request.requestId(), nowMs));
+        results.add(new ClaimResult(Outcome.CLAIMED, request.requestId()));
         changed = true;
       }
     }
@@ -113,7 +113,7 @@
   }
 
   /** Returns this shard without the claims of requests that are known never to run. */
-  public ClaimShard without(Set<String> requestIds) {
+  public ClaimShard withoutRequests(Set<String> requestIds) {
     Map<String, Claim> remaining = new LinkedHashMap<>();
     claims.forEach(
         (key, claim) -> {
@@ -125,9 +125,9 @@
   }
 
   /** Returns the milliseconds until the oldest claim expires and frees its place. */
-  public OptionalLong roomInMs(long nowMs) {
+  public OptionalLong nextExpiryInMs(long nowMs) {
     for (Claim claim : claims.values()) {
-      return OptionalLong.of(Math.max(0, claim.at() + KEEP_MS - nowMs));
+      return OptionalLong.of(Math.max(0, claim.at() + CLAIM_TTL_MS - nowMs));
     }
     return OptionalLong.empty();
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimShards.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/claim/ClaimShards.java
@@ -20,8 +20,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.LongSupplier;
-import org.landingtrack.internal.claim.ClaimShard.Verdict;
-import org.landingtrack.internal.claim.ClaimShard.Wish;
+import org.landingtrack.internal.claim.ClaimShard.ClaimRequest;
+import org.landingtrack.internal.claim.ClaimShard.ClaimResult;
 import org.landingtrack.internal.platform.ObjectApi;
 
 /**
@@ -31,9 +31,9 @@
 public final class ClaimShards implements AutoCloseable {
   /**
    * Number of shards. To change it, all claims must be stopped for as long as keys stay claimed
-   * ({@link ClaimShard#KEEP_MS}).
+   * ({@link ClaimShard#CLAIM_TTL_MS}).
    */
-  public static final int SHARDS = 16;
+  public static final int SHARD_COUNT = 16;
 
   private final ObjectApi api;
   private final LongSupplier wallClock;
@@ -51,13 +51,13 @@
 
   /** Returns the name of the shard of a key hash, which must begin with four hex digits. */
   public static String shardOf(String keyHash) {
-    int shard = Integer.parseInt(keyHash.substring(0, 4), 16) % SHARDS;
+    int shard = Integer.parseInt(keyHash.substring(0, 4), 16) % SHARD_COUNT;
     return "shard-" + shard;
   }
 
   /** Requests a claim; see {@link ClaimCommitter#claim}. */
-  public CompletableFuture<Verdict> claim(String keyHash, String requestId) {
-    return committer(keyHash).claim(new Wish(keyHash, requestId));
+  public CompletableFuture<ClaimResult> claim(String keyHash, String requestId) {
+    return committer(keyHash).claim(new ClaimRequest(keyHash, requestId));
   }
 
   /** Releases the claim of a request that never ran. */
--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/CommandLineProgram.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/CommandLineProgram.java
@@ -90,10 +90,10 @@
     if (commandLine.hasOption("help")) {
       out.print(USAGE);
       if (program.equals("ctl")) {
-        out.print("\n" + Ctl.VERBS + "\noptions of ctl:\n" + describe(Ctl.options()));
+        out.print("\n" + Ctl.VERBS + "\noptions of ctl:\n" + formatOptions(Ctl.options()));
       }
       if (program.equals("keys")) {
-        out.print("\n" + Keys.VERBS + "\noptions of keys:\n" + describe(Keys.options()));
+        out.print("\n" + Keys.VERBS + "\noptions of keys:\n" + formatOptions(Keys.options()));
       }
       return ExitCodes.DONE;
     }
@@ -107,8 +107,8 @@
   private int run(String program, CommandLine commandLine) throws InterruptedException {
     List<String> arguments = commandLine.getArgList();
     return switch (program) {
-      case "gateway" -> ProcessCommand.gateway(settings(commandLine));
-      case "controller" -> ProcessCommand.controller(settings(commandLine));
+      case "gateway" -> ProcessCommand.gateway(settingsFile(commandLine));
+      case "controller" -> ProcessCommand.controller(settingsFile(commandLine));
       case "check" -> {
         if (arguments.size() != 1) {
           throw new UsageException("check needs one FILE");
@@ -145,7 +145,7 @@
     }
   }
 
-  private static String describe(Options options) {
+  private static String formatOptions(Options options) {
     StringBuilder text = new StringBuilder();
     for (Option option : options.getOptions()) {
       String argument = option.hasArg() ? " " + option.getArgName() : "";
@@ -155,7 +155,7 @@
     return text.toString();
   }
 
-  private static Path settings(CommandLine commandLine) {
+  private static Path settingsFile(CommandLine commandLine) {
     String file = commandLine.getOptionValue("settings");
     if (file == null) {
       throw new UsageException("--settings FILE is missing");
--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/Ctl.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/Ctl.java
@@ -71,16 +71,16 @@
         audit KIND NAME            show all changes of one object, newest first
       """;
 
-  private static final JsonMapper FILES =
+  private static final JsonMapper JSON_MAPPER =
       JsonMapper.builder()
           .enable(JsonReadFeature.ALLOW_JAVA_COMMENTS)
           .enable(JsonReadFeature.ALLOW_TRAILING_COMMA)
           .build();
-  private static final Metadata.Key<String> KIND =
+  private static final Metadata.Key<String> KIND_METADATA =
       Metadata.Key.of("landingtrack-kind", Metadata.ASCII_STRING_MARSHALLER);
   private static final long ANY_VERSION = -1;
-  private static final String SERVER = "backend-server";
-  private static final String SERVICE = "service";
+  private static final String SERVER_KIND = "backend-server";
+  private static final String SERVICE_KIND = "service";
 
   private final OperatorClient client;
   private final PrintStream out;
@@ -96,29 +96,36 @@
     boolean json = commandLine.getOptionValue("output", "table").equals("json");
     this.printer = new CtlPrinter(out, json);
     this.dryRun = commandLine.hasOption("dry-run");
-    this.expectedVersion = number(commandLine, "expected-version", ANY_VERSION);
-    this.waitMs = 1_000 * number(commandLine, "wait", 0);
-    this.limit = (int) number(commandLine, "limit", 100);
+    this.expectedVersion = numberOption(commandLine, "expected-version", ANY_VERSION);
+    this.waitMs = 1_000 * numberOption(commandLine, "wait", 0);
+    this.limit = (int) numberOption(commandLine, "limit", 100);
   }
 
   static Options options() {
     return new Options()
-        .addOption(value("controller", "ADDRESS", "address for operators of any controller"))
-        .addOption(value("key", "KEY", "operator key; default: the variable LANDINGTRACK_KEY"))
-        .addOption(value("ca", "FILE", "use TLS and trust this authority's certificate (PEM)"))
-        .addOption(value("output", "FORMAT", "table or json"))
-        .addOption(value("expected-version", "N", "fail unless this is the current version"))
         .addOption(
-            value("wait", "SECONDS", "wait until the change is in force on all live processes"))
-        .addOption(value("limit", "N", "maximum number of entries; default 100"))
+            optionWithArgument("controller", "ADDRESS", "address for operators of any controller"))
+        .addOption(
+            optionWithArgument(
+                "key", "KEY", "operator key; default: the variable LANDINGTRACK_KEY"))
+        .addOption(
+            optionWithArgument(
+                "ca", "FILE", "use TLS and trust this authority's certificate (PEM)"))
+        .addOption(optionWithArgument("output", "FORMAT", "table or json"))
+        .addOption(
+            optionWithArgument("expected-version", "N", "fail unless this is the current version"))
+        .addOption(
+            optionWithArgument(
+                "wait", "SECONDS", "wait until the change is in force on all live processes"))
+        .addOption(optionWithArgument("limit", "N", "maximum number of entries; default 100"))
         .addOption(Option.builder().longOpt("dry-run").desc("validate, but change nothing").get());
   }
 
-  private static Option value(String name, String argument, String description) {
+  private static Option optionWithArgument(String name, String argument, String description) {
     return Option.builder().longOpt(name).hasArg().argName(argument).desc(description).get();
   }
 
-  private static long number(CommandLine commandLine, String name, long defaultValue) {
+  private static long numberOption(CommandLine commandLine, String name, long defaultValue) {
     String text = commandLine.getOptionValue(name);
     if (text == null) {
       return defaultValue;
@@ -143,7 +150,7 @@
         commandLine.getOptionValue("key", System.getenv().getOrDefault("LANDINGTRACK_KEY", ""));
     try (OperatorClient client =
         new OperatorClient(address, key, commandLine.getOptionValue("ca", ""))) {
-      return new Ctl(client, commandLine, out).verb(arguments);
+      return new Ctl(client, commandLine, out).runVerb(arguments);
     } catch (StatusRuntimeException e) {
       err.println("landingtrack ctl: " + describe(e));
       return ExitCodes.FAILED;
@@ -152,26 +159,30 @@
 
   private static String describe(StatusRuntimeException e) {
     Metadata trailers = Status.trailersFromThrowable(e);
-    String kind = trailers == null ? null : trailers.get(KIND);
+    String kind = trailers == null ? null : trailers.get(KIND_METADATA);
     String description = e.getStatus().getDescription();
     String text = description == null ? e.getStatus().getCode().toString() : description;
     return (kind == null ? e.getStatus().getCode().toString() : kind) + ": " + text;
   }
 
-  private int verb(List<String> arguments) {
+  private int runVerb(List<String> arguments) {
     String verb = arguments.get(0);
     switch (verb) {
-      case "apply" -> apply(Path.of(word(arguments, 1, "FILE")));
-      case "get" -> get(word(arguments, 1, "KIND"), word(arguments, 2, "NAME"));
-      case "list" -> list(word(arguments, 1, "KIND"));
-      case "delete" -> delete(word(arguments, 1, "KIND"), word(arguments, 2, "NAME"));
-      case "drain" -> drain(word(arguments, 1, "NAME"), true);
-      case "undrain" -> drain(word(arguments, 1, "NAME"), false);
-      case "load" -> load(word(arguments, 1, "SERVICE"), word(arguments, 2, "VERSION"));
-      case "rollback" -> rollback(word(arguments, 1, "SERVICE"));
+      case "apply" -> apply(Path.of(requiredArgument(arguments, 1, "FILE")));
+      case "get" ->
+          get(requiredArgument(arguments, 1, "KIND"), requiredArgument(arguments, 2, "NAME"));
+      case "list" -> list(requiredArgument(arguments, 1, "KIND"));
+      case "delete" ->
+          delete(requiredArgument(arguments, 1, "KIND"), requiredArgument(arguments, 2, "NAME"));
+      case "drain" -> drain(requiredArgument(arguments, 1, "NAME"), true);
+      case "undrain" -> drain(requiredArgument(arguments, 1, "NAME"), false);
+      case "load" ->
+          load(
+              requiredArgument(arguments, 1, "SERVICE"), requiredArgument(arguments, 2, "VERSION"));
+      case "rollback" -> rollback(requiredArgument(arguments, 1, "SERVICE"));
       case "status" -> status();
       case "explain" -> {
-        return explain(word(arguments, 1, "SUBJECT"));
+        return explain(requiredArgument(arguments, 1, "SUBJECT"));
       }
       case "audit" -> audit(arguments);
       default -> throw new UsageException("unknown verb '" + verb + "'\n" + VERBS);
@@ -179,7 +190,7 @@
     return ExitCodes.DONE;
   }
 
-  private static String word(List<String> arguments, int index, String name) {
+  private static String requiredArgument(List<String> arguments, int index, String name) {
     if (index >= arguments.size()) {
       throw new UsageException(arguments.get(0) + " needs " + name);
     }
@@ -210,7 +221,7 @@
 
   private static JsonNode readFile(Path file) {
     try {
-      return FILES.readTree(Files.readString(file));
+      return JSON_MAPPER.readTree(Files.readString(file));
     } catch (JsonProcessingException e) {
       throw new UsageException(
           file + ":" + e.getLocation().getLineNr() + ": " + e.getOriginalMessage());
@@ -224,14 +235,14 @@
         CatalogObject.newBuilder().setKind(kind).setName(name).setSpecJson(spec).build();
     PutReply reply =
         client
-            .call()
+            .stubWithDeadline()
             .put(
                 PutRequest.newBuilder()
                     .setObject(object)
                     .setExpectedVersion(requiredVersion)
                     .setDryRun(dryRun)
                     .build());
-    printer.changed(kind, name, reply, dryRun);
+    printer.printChange(kind, name, reply, dryRun);
     return reply;
   }
 
@@ -242,7 +253,9 @@
     long startNanos = System.nanoTime();
     while (true) {
       RolloutReply reply =
-          client.call().rollout(RolloutRequest.newBuilder().setRevision(revision).build());
+          client
+              .stubWithDeadline()
+              .rollout(RolloutRequest.newBuilder().setRevision(revision).build());
       double seconds = (System.nanoTime() - startNanos) / 1e9;
       if (reply.getInForce() >= reply.getLive()) {
         out.printf(Locale.ROOT, "in force on all %d after %.1f s%n", reply.getLive(), seconds);
@@ -266,17 +279,19 @@
     }
   }
 
-  private CatalogObject read(String kind, String name) {
-    return client.call().get(GetRequest.newBuilder().setKind(kind).setName(name).build());
+  private CatalogObject fetchObject(String kind, String name) {
+    return client
+        .stubWithDeadline()
+        .get(GetRequest.newBuilder().setKind(kind).setName(name).build());
   }
 
   private void get(String kind, String name) {
-    printer.object(read(kind, name));
+    printer.printObject(fetchObject(kind, name));
   }
 
-  private static JsonNode parse(String text) {
+  private static JsonNode parseJson(String text) {
     try {
-      return FILES.readTree(text);
+      return JSON_MAPPER.readTree(text);
     } catch (JsonProcessingException e) {
       throw new UsageException(
           "the controller sent an object specification that is not valid JSON");
@@ -289,12 +304,12 @@
     while (true) {
       ListReply reply =
           client
-              .call()
+              .stubWithDeadline()
               .list(
                   ListRequest.newBuilder().setKind(kind).setAfter(lastName).setLimit(100).build());
       for (CatalogObject object : reply.getObjectsList()) {
         if (shown++ < limit) {
-          printer.object(object);
+          printer.printObject(object);
         }
       }
       lastName = reply.getNext();
@@ -307,36 +322,37 @@
   private void delete(String kind, String name) {
     PutReply reply =
         client
-            .call()
+            .stubWithDeadline()
             .delete(
                 DeleteRequest.newBuilder()
                     .setKind(kind)
                     .setName(name)
                     .setExpectedVersion(expectedVersion)
                     .build());
-    printer.changed(kind, name, reply, dryRun);
+    printer.printChange(kind, name, reply, dryRun);
     awaitInForce(reply.getRevision());
   }
 
   private void drain(String name, boolean draining) {
-    CatalogObject object = read(SERVER, name);
-    ObjectNode spec = (ObjectNode) parse(object.getSpecJson());
+    CatalogObject object = fetchObject(SERVER_KIND, name);
+    ObjectNode spec = (ObjectNode) parseJson(object.getSpecJson());
     spec.put("draining", draining);
-    awaitInForce(put(SERVER, name, spec.toString(), object.getVersion()).getRevision());
+    awaitInForce(put(SERVER_KIND, name, spec.toString(), object.getVersion()).getRevision());
   }
 
   private void load(String service, String version) {
-    CatalogObject object = read(SERVICE, service);
-    ObjectNode spec = (ObjectNode) parse(object.getSpecJson());
+    CatalogObject object = fetchObject(SERVICE_KIND, service);
+    ObjectNode spec = (ObjectNode) parseJson(object.getSpecJson());
     spec.put("weightVersion", version);
-    awaitInForce(put(SERVICE, service, spec.toString(), object.getVersion()).getRevision());
+    awaitInForce(put(SERVICE_KIND, service, spec.toString(), object.getVersion()).getRevision());
   }
 
   private void rollback(String service) {
-    String current = parse(read(SERVICE, service).getSpecJson()).path("weightVersion").asText();
-    for (AuditEntry entry : auditReply(SERVICE, service).getEntriesList()) {
+    String current =
+        parseJson(fetchObject(SERVICE_KIND, service).getSpecJson()).path("weightVersion").asText();
+    for (AuditEntry entry : fetchAudit(SERVICE_KIND, service).getEntriesList()) {
       String specBefore = entry.getBefore().isEmpty() ? "{}" : entry.getBefore();
-      String version = parse(specBefore).path("weightVersion").asText();
+      String version = parseJson(specBefore).path("weightVersion").asText();
       if (!version.isEmpty() && !version.equals(current)) {
         load(service, version);
         return;
@@ -347,27 +363,27 @@
   }
 
   private void status() {
-    printer.status(client.call().status(StatusRequest.getDefaultInstance()));
+    printer.printStatus(client.stubWithDeadline().status(StatusRequest.getDefaultInstance()));
   }
 
   private int explain(String subject) {
     ExplainReply reply =
-        client.call().explain(ExplainRequest.newBuilder().setSubject(subject).build());
-    printer.explanation(subject, reply);
+        client.stubWithDeadline().explain(ExplainRequest.newBuilder().setSubject(subject).build());
+    printer.printExplanation(subject, reply);
     return reply.getKnown() ? ExitCodes.DONE : ExitCodes.FAILED;
   }
 
-  private AuditReply auditReply(String kind, String name) {
+  private AuditReply fetchAudit(String kind, String name) {
     return client
-        .call()
+        .stubWithDeadline()
         .audit(AuditRequest.newBuilder().setKind(kind).setName(name).setLimit(limit).build());
   }
 
   private void audit(List<String> arguments) {
     String kind = arguments.size() < 2 ? "" : arguments.get(1);
     String name = arguments.size() < 3 ? "" : arguments.get(2);
-    AuditReply reply = auditReply(kind, name);
-    reply.getEntriesList().forEach(printer::auditEntry);
+    AuditReply reply = fetchAudit(kind, name);
+    reply.getEntriesList().forEach(printer::printAuditEntry);
     if (!name.isEmpty() && !reply.getWhole()) {
       throw new LandingtrackException(
           ErrorKind.PLATFORM_UNAVAILABLE,
--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/CtlPrinter.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/CtlPrinter.java
@@ -37,17 +37,17 @@
     this.json = json;
   }
 
-  private static ObjectNode node() {
+  private static ObjectNode newNode() {
     return Json.LENIENT.createObjectNode();
   }
 
-  void object(CatalogObject object) {
+  void printObject(CatalogObject object) {
     String name = object.getKind() + "/" + object.getName();
     if (!json) {
       out.printf("%-40s %4d  %s%n", name, object.getVersion(), object.getSpecJson());
       return;
     }
-    ObjectNode node = node();
+    ObjectNode node = newNode();
     node.put("kind", object.getKind());
     node.put("name", object.getName());
     node.put("version", object.getVersion());
@@ -56,7 +56,7 @@
     out.println(node);
   }
 
-  void changed(String kind, String name, PutReply reply, boolean dryRun) {
+  void printChange(String kind, String name, PutReply reply, boolean dryRun) {
     if (!json) {
       String outcome =
           !reply.getChanged()
@@ -64,32 +64,33 @@
               : dryRun ? "would change" : "changed by " + reply.getChangeId();
       out.println(kind + "/" + name + " version " + reply.getVersion() + " " + outcome);
       if (reply.getChanged()) {
-        diff(kind + "/" + name, reply).forEach(line -> out.println("  " + line));
+        diffLines(kind + "/" + name, reply).forEach(line -> out.println("  " + line));
       }
       return;
     }
-    ObjectNode node = node();
+    ObjectNode node = newNode();
     node.put("kind", kind);
     node.put("name", name);
     node.put("version", reply.getVersion());
     node.put("revision", reply.getRevision());
     node.put("change_id", reply.getChangeId());
     node.put("changed", reply.getChanged());
-    diff(kind + "/" + name, reply).forEach(node.putArray("diff")::add);
+    diffLines(kind + "/" + name, reply).forEach(node.putArray("diff")::add);
     out.println(node);
   }
 
-  private static List<String> diff(String name, PutReply reply) {
-    return SpecDiff.lines(spec(name, reply.getBeforeJson()), spec(name, reply.getAfterJson()));
+  private static List<String> diffLines(String name, PutReply reply) {
+    return SpecDiff.lines(
+        parseSpec(name, reply.getBeforeJson()), parseSpec(name, reply.getAfterJson()));
   }
 
-  private static ObjectNode spec(String name, String json) {
-    return json.isEmpty() ? node() : Json.read(name, json, ObjectNode.class);
+  private static ObjectNode parseSpec(String name, String json) {
+    return json.isEmpty() ? newNode() : Json.read(name, json, ObjectNode.class);
   }
 
-  void status(StatusReply reply) {
+  void printStatus(StatusReply reply) {
     if (json) {
-      statusAsJson(reply);
+      printStatusAsJson(reply);
       return;
     }
     out.println("controller   " + reply.getVm() + " in " + reply.getDataCentre());
@@ -102,8 +103,8 @@
     }
   }
 
-  private void statusAsJson(StatusReply reply) {
-    ObjectNode node = node();
+  private void printStatusAsJson(StatusReply reply) {
+    ObjectNode node = newNode();
     node.put("vm", reply.getVm());
     node.put("data_centre", reply.getDataCentre());
     node.put("revision", reply.getRevision());
@@ -120,13 +121,13 @@
     out.println(node);
   }
 
-  void explanation(String subject, ExplainReply reply) {
+  void printExplanation(String subject, ExplainReply reply) {
     if (!reply.getKnown()) {
       out.println("Nothing is known about " + subject + " (any more).");
       return;
     }
     if (json) {
-      ObjectNode node = node();
+      ObjectNode node = newNode();
       reply.getSentencesList().forEach(node.withArray("sentences")::add);
       out.println(node);
       return;
@@ -134,7 +135,7 @@
     reply.getSentencesList().forEach(out::println);
   }
 
-  void auditEntry(AuditEntry entry) {
+  void printAuditEntry(AuditEntry entry) {
     Instant at = Instant.ofEpochMilli(entry.getAtMs());
     if (!json) {
       out.printf(
@@ -147,7 +148,7 @@
           entry.getChangeId());
       return;
     }
-    ObjectNode node = node();
+    ObjectNode node = newNode();
     node.put("change_id", entry.getChangeId());
     node.put("at", at.toString());
     node.put("operator", entry.getOperator());
--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/Keys.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/Keys.java
@@ -46,14 +46,15 @@
 
   static Options options() {
     return new Options()
-        .addOption(value("out", "FOLDER", "folder to write the files to"))
-        .addOption(value("authority", "FOLDER", "folder with the files of the authority"))
-        .addOption(value("vm", "NAME", "name of the VM"))
-        .addOption(value("ip", "ADDRESS,…", "IP addresses of the VM"))
-        .addOption(value("days", "N", "days of validity, 1 to 3650; default 365"));
+        .addOption(optionWithArgument("out", "FOLDER", "folder to write the files to"))
+        .addOption(
+            optionWithArgument("authority", "FOLDER", "folder with the files of the authority"))
+        .addOption(optionWithArgument("vm", "NAME", "name of the VM"))
+        .addOption(optionWithArgument("ip", "ADDRESS,…", "IP addresses of the VM"))
+        .addOption(optionWithArgument("days", "N", "days of validity, 1 to 3650; default 365"));
   }
 
-  private static Option value(String name, String argument, String description) {
+  private static Option optionWithArgument(String name, String argument, String description) {
     return Option.builder().longOpt(name).hasArg().argName(argument).desc(description).get();
   }
 
@@ -62,19 +63,19 @@
       throw new UsageException("keys needs exactly one VERB\n" + VERBS);
     }
     switch (arguments.get(0)) {
-      case "new" -> newKey(out);
+      case "new" -> printNewKey(out);
       case "authority" -> {
-        Path folder = Path.of(required(commandLine, "out"));
-        CertificateIssuer.newAuthority(folder, days(commandLine));
+        Path folder = Path.of(requiredOption(commandLine, "out"));
+        CertificateIssuer.createAuthority(folder, parseDays(commandLine));
         out.println("wrote " + folder);
       }
       case "issue" -> {
-        Path folder = Path.of(required(commandLine, "out"));
+        Path folder = Path.of(requiredOption(commandLine, "out"));
         CertificateIssuer.issue(
-            Path.of(required(commandLine, "authority")),
-            required(commandLine, "vm"),
-            List.of(required(commandLine, "ip").split(",", -1)),
-            days(commandLine),
+            Path.of(requiredOption(commandLine, "authority")),
+            requiredOption(commandLine, "vm"),
+            List.of(requiredOption(commandLine, "ip").split(",", -1)),
+            parseDays(commandLine),
             folder);
         out.println("wrote " + folder);
       }
@@ -83,7 +84,7 @@
     return ExitCodes.DONE;
   }
 
-  private static void newKey(PrintStream out) {
+  private static void printNewKey(PrintStream out) {
     byte[] bytes = new byte[KEY_BYTES];
     new SecureRandom().nextBytes(bytes);
     String key = Base64.getUrlEncoder().withoutPadding().encodeToString(bytes);
@@ -91,7 +92,7 @@
     out.println("sha256  " + Hashes.sha256Hex(key));
   }
 
-  private static String required(CommandLine commandLine, String name) {
+  private static String requiredOption(CommandLine commandLine, String name) {
     String value = commandLine.getOptionValue(name);
     if (value == null || value.isEmpty()) {
       throw new UsageException("--" + name + " is missing");
@@ -99,7 +100,7 @@
     return value;
   }
 
-  private static int days(CommandLine commandLine) {
+  private static int parseDays(CommandLine commandLine) {
     String text = commandLine.getOptionValue("days", "365");
     try {
       int days = Integer.parseInt(text);
--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/OperatorClient.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/OperatorClient.java
@@ -31,9 +31,9 @@
 
 /** Calls the operators' gRPC interface of one controller. */
 final class OperatorClient implements AutoCloseable {
-  private static final Metadata.Key<String> KEY =
+  private static final Metadata.Key<String> OPERATOR_KEY_METADATA =
       Metadata.Key.of("operator-key", Metadata.ASCII_STRING_MARSHALLER);
-  private static final long DEADLINE_S = 30;
+  private static final long CALL_TIMEOUT_S = 30;
 
   private final ManagedChannel channel;
   private final OperatorsBlockingStub stub;
@@ -52,7 +52,7 @@
     }
     this.channel = channel(target, authority);
     Metadata headers = new Metadata();
-    headers.put(KEY, operatorKey);
+    headers.put(OPERATOR_KEY_METADATA, operatorKey);
     this.stub =
         OperatorsGrpc.newBlockingStub(channel)
             .withInterceptors(MetadataUtils.newAttachHeadersInterceptor(headers));
@@ -71,9 +71,9 @@
     }
   }
 
-  /** Returns a stub whose next call must be answered within {@link #DEADLINE_S} seconds. */
-  OperatorsBlockingStub call() {
-    return stub.withDeadlineAfter(DEADLINE_S, TimeUnit.SECONDS);
+  /** Returns a stub whose next call must be answered within {@link #CALL_TIMEOUT_S} seconds. */
+  OperatorsBlockingStub stubWithDeadline() {
+    return stub.withDeadlineAfter(CALL_TIMEOUT_S, TimeUnit.SECONDS);
   }
 
   @Override
--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/ProcessCommand.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/ProcessCommand.java
@@ -26,13 +26,13 @@
 import org.landingtrack.internal.settings.ControllerSettings;
 import org.landingtrack.internal.settings.EntrySettings;
 import org.landingtrack.internal.settings.GatewaySettings;
+import org.landingtrack.internal.tls.ReloadableTlsIdentity;
 import org.landingtrack.internal.tls.TlsFiles;
-import org.landingtrack.internal.tls.TlsIdentities;
 import org.slf4j.LoggerFactory;
 
 /** Runs gateway and controller processes, and checks the settings of all kinds of processes. */
 final class ProcessCommand {
-  private static final JsonMapper PEEK =
+  private static final JsonMapper JSON_MAPPER =
       JsonMapper.builder()
           .enable(com.fasterxml.jackson.core.json.JsonReadFeature.ALLOW_JAVA_COMMENTS)
           .enable(com.fasterxml.jackson.core.json.JsonReadFeature.ALLOW_TRAILING_COMMA)
@@ -87,30 +87,30 @@
    * that one command checks all kinds.
    */
   static int check(Path file) {
-    String kind = process(file);
+    String kind = readProcessKind(file);
     if (kind.equals("entry")) {
       // The load balancer terminates the TLS of callers; entry settings have no TLS section.
       var unused = EntrySettings.read(file);
-      return ok(file);
+      return printOk(file);
     }
     TlsFiles tls =
         kind.equals("gateway")
             ? GatewaySettings.read(file).tls()
             : ControllerSettings.read(file).tls();
     if (tls != null) {
-      var unused = TlsIdentities.load(tls);
+      var unused = ReloadableTlsIdentity.load(tls);
     }
-    return ok(file);
+    return printOk(file);
   }
 
-  private static int ok(Path file) {
+  private static int printOk(Path file) {
     System.out.println(file + ": ok");
     return ExitCodes.DONE;
   }
 
-  private static String process(Path file) {
+  private static String readProcessKind(Path file) {
     try {
-      JsonNode tree = PEEK.readTree(Files.readString(file));
+      JsonNode tree = JSON_MAPPER.readTree(Files.readString(file));
       return tree == null ? "" : tree.path("process").asText();
     } catch (IOException e) {
       // The validation that follows reports the error with its line.
--- a/landingtrack/src/main/java/org/landingtrack/internal/cli/SpecDiff.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/cli/SpecDiff.java
@@ -25,7 +25,7 @@
 
 /** Lists what a change does to an object's specification, one line for each changed key. */
 final class SpecDiff {
-  private static final int LONGEST_VALUE = 60;
+  private static final int MAX_VALUE_LENGTH = 60;
 
   private SpecDiff() {}
 
@@ -58,24 +58,24 @@
 
   private static Map<String, String> flatten(JsonNode node) {
     Map<String, String> flat = new TreeMap<>();
-    addAll(flat, "", node);
+    flattenInto(flat, "", node);
     return flat;
   }
 
-  private static void addAll(Map<String, String> flat, String path, JsonNode node) {
+  private static void flattenInto(Map<String, String> flat, String path, JsonNode node) {
     if (!node.isObject()) {
-      flat.put(path, shortened(node.toString()));
+      flat.put(path, truncate(node.toString()));
       return;
     }
     Iterator<Map.Entry<String, JsonNode>> fields = node.fields();
     while (fields.hasNext()) {
       Map.Entry<String, JsonNode> field = fields.next();
       String fieldPath = path.isEmpty() ? field.getKey() : path + "." + field.getKey();
-      addAll(flat, fieldPath, field.getValue());
+      flattenInto(flat, fieldPath, field.getValue());
     }
   }
 
-  private static String shortened(String value) {
-    return value.length() <= LONGEST_VALUE ? value : value.substring(0, LONGEST_VALUE) + "…";
+  private static String truncate(String value) {
+    return value.length() <= MAX_VALUE_LENGTH ? value : value.substring(0, MAX_VALUE_LENGTH) + "…";
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/config/ConfigFeed.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/config/ConfigFeed.java
@@ -20,7 +20,7 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 import org.landingtrack.LandingtrackException;
-import org.landingtrack.internal.base.Duty;
+import org.landingtrack.internal.base.BoundedWorker;
 import org.landingtrack.internal.base.Json;
 import org.landingtrack.internal.catalog.StoredEntry;
 import org.landingtrack.internal.membership.Member;
@@ -51,11 +51,11 @@
 public final class ConfigFeed implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("config");
   private static final String PREFIX = "config/";
-  private static final int PAGE = 500;
+  private static final int PAGE_SIZE = 500;
   private static final long WATCH_MS = 10_000;
-  private static final int PULL_MS = 5_000;
-  private static final int CALL_SLACK_MS = 2_000;
-  private static final long COMPARE_EVERY_MS = 1_000;
+  private static final int PULL_WAIT_MS = 5_000;
+  private static final int CALL_TIMEOUT_MARGIN_MS = 2_000;
+  private static final long COMPARE_INTERVAL_MS = 1_000;
 
   private final ObjectApi api;
   private final PeerClient peers;
@@ -63,8 +63,8 @@
   private final ConfigReplica replica;
   private final RandomGenerator random;
   private final Backoff backoff;
-  private final Thread feeder;
-  private final Duty comparer;
+  private final Thread updateThread;
+  private final BoundedWorker compareTask;
   private long watchedRevision = -1;
   private volatile boolean closed;
 
@@ -81,20 +81,21 @@
     this.replica = replica;
     this.random = random;
     this.backoff = new Backoff(random, 100, 5_000);
-    this.feeder = Duty.daemon("config-feed").newThread(this::feed);
-    this.comparer = Duty.start("config-compare", 4);
+    this.updateThread =
+        BoundedWorker.daemonThreadFactory("config-feed").newThread(this::updateLoop);
+    this.compareTask = BoundedWorker.start("config-compare", 4);
   }
 
   /** Starts the threads that update and compare the replica. */
   public void start() {
-    feeder.start();
-    comparer.every(COMPARE_EVERY_MS, this::compare);
+    updateThread.start();
+    compareTask.runPeriodically(COMPARE_INTERVAL_MS, this::compare);
   }
 
-  private void feed() {
+  private void updateLoop() {
     while (!closed) {
       try {
-        feedOnce();
+        updateOnce();
         backoff.reset();
       } catch (PlatformException | PeerException e) {
         log.debug("Could not update the configuration, will retry: {}.", e.getMessage());
@@ -111,16 +112,16 @@
     }
   }
 
-  private void feedOnce() {
+  private void updateOnce() {
     Optional<Member> parent = parent();
     if (parent.isPresent()) {
       watchedRevision = -1;
-      pull(parent.get().address(), PULL_MS);
+      pull(parent.get().address(), PULL_WAIT_MS);
       return;
     }
     if (watchedRevision < 0) {
       if (!replica.isComplete()) {
-        tryPeersFirst();
+        pullFromPeers();
       }
       listAll();
       return;
@@ -142,7 +143,7 @@
     return parent.flatMap(vm -> sameDataCentre.stream().filter(m -> m.vm().equals(vm)).findFirst());
   }
 
-  private void tryPeersFirst() {
+  private void pullFromPeers() {
     for (Member member : others()) {
       try {
         pull(member.address(), 0);
@@ -166,7 +167,7 @@
     long after = replica.isComplete() ? replica.revision() : -1;
     ConfigPull request = new ConfigPull(membership.self().vm(), false, after, waitMs);
     ConfigAnswer answer =
-        peers.call(address, request, ConfigAnswer.class, (int) waitMs + CALL_SLACK_MS);
+        peers.call(address, request, ConfigAnswer.class, (int) waitMs + CALL_TIMEOUT_MARGIN_MS);
     if (answer.complete() && replica.merge(Math.max(0, after), answer.delta())) {
       log.info("Received configuration revision {} from peer {}.", replica.revision(), address);
     }
@@ -181,12 +182,12 @@
     String after = "";
     List<ConfigEntry> entries = new ArrayList<>();
     while (true) {
-      Listing page = api.list(CallClass.CONFIGURATION, PREFIX, after, PAGE);
+      Listing page = api.list(CallClass.CONFIGURATION, PREFIX, after, PAGE_SIZE);
       if (firstPageRevision < 0) {
         firstPageRevision = page.revision();
       }
       page.objects().forEach(object -> entries.add(entry(object)));
-      if (page.objects().size() < PAGE) {
+      if (page.objects().size() < PAGE_SIZE) {
         break;
       }
       after = page.objects().get(page.objects().size() - 1).key();
@@ -225,10 +226,10 @@
   }
 
   private static ConfigEntry entry(StoredObject object) {
-    return new ConfigEntry(object.key(), object.version(), object.revision(), forReplicas(object));
+    return new ConfigEntry(object.key(), object.version(), object.revision(), replicaValue(object));
   }
 
-  private static String forReplicas(StoredObject object) {
+  private static String replicaValue(StoredObject object) {
     try {
       return Json.write(Json.read(object.key(), object.value(), StoredEntry.class).forReplicas());
     } catch (LandingtrackException e) {
@@ -245,7 +246,8 @@
     Member other = others.get(random.nextInt(others.size()));
     try {
       RevisionAnswer answer =
-          peers.call(other.address(), new RevisionQuery(), RevisionAnswer.class, CALL_SLACK_MS);
+          peers.call(
+              other.address(), new RevisionQuery(), RevisionAnswer.class, CALL_TIMEOUT_MARGIN_MS);
       if (answer.revision() > replica.revision()) {
         pull(other.address(), 0);
       }
@@ -260,7 +262,7 @@
   @Override
   public void close() {
     closed = true;
-    feeder.interrupt();
-    comparer.close();
+    updateThread.interrupt();
+    compareTask.close();
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/controller/ControllerComponent.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/controller/ControllerComponent.java
@@ -23,15 +23,15 @@
 import org.landingtrack.internal.config.ConfigReplica;
 import org.landingtrack.internal.directory.FeedFollower;
 import org.landingtrack.internal.directory.PrefixDirectory;
-import org.landingtrack.internal.explain.Explainer;
-import org.landingtrack.internal.kept.KeptStateKeeper;
+import org.landingtrack.internal.explain.ExplanationStore;
+import org.landingtrack.internal.kept.KvExporter;
 import org.landingtrack.internal.membership.MembershipService;
 import org.landingtrack.internal.operator.CatalogWriter;
 import org.landingtrack.internal.peer.PeerClient;
 import org.landingtrack.internal.peer.PeerServer;
 import org.landingtrack.internal.platform.HttpObjectApi;
 import org.landingtrack.internal.tls.TlsRenewal;
-import org.landingtrack.internal.weights.WeightRoller;
+import org.landingtrack.internal.weights.DataCentreRollout;
 import org.landingtrack.internal.wiring.ProcessModule;
 
 /** Creates the objects of one controller process, by dependency injection. */
@@ -52,25 +52,25 @@
 
   ConfigReplica replica();
 
-  ConfigFeed feed();
+  ConfigFeed configFeed();
 
-  PrefixDirectory directory();
+  PrefixDirectory prefixDirectory();
 
-  KeptStateKeeper kept();
+  KvExporter kvCacheExporter();
 
-  FeedFollower follower();
+  FeedFollower feedFollower();
 
-  ClaimShards claims();
+  ClaimShards claimShards();
 
-  Explainer explainer();
+  ExplanationStore explanationStore();
 
-  Gateways gateways();
+  GatewayRevisions gatewayRevisions();
 
-  LeavingServers leaving();
+  LeavingServers leavingServers();
 
-  CatalogWriter writer();
+  CatalogWriter catalogWriter();
 
-  WeightRoller roller();
+  DataCentreRollout dataCentreRollout();
 
-  PeerRoutes routes();
+  PeerHandlers peerHandlers();
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/controller/ControllerModule.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/controller/ControllerModule.java
@@ -30,9 +30,9 @@
 import org.landingtrack.internal.directory.FeedFollower;
 import org.landingtrack.internal.directory.HttpCacheFeed;
 import org.landingtrack.internal.directory.PrefixDirectory;
-import org.landingtrack.internal.explain.Explainer;
-import org.landingtrack.internal.kept.HttpKeptStateClient;
-import org.landingtrack.internal.kept.KeptStateKeeper;
+import org.landingtrack.internal.explain.ExplanationStore;
+import org.landingtrack.internal.kept.HttpKvExportClient;
+import org.landingtrack.internal.kept.KvExporter;
 import org.landingtrack.internal.lease.Lease;
 import org.landingtrack.internal.membership.Member;
 import org.landingtrack.internal.membership.Membership;
@@ -40,20 +40,20 @@
 import org.landingtrack.internal.operator.CatalogWriter;
 import org.landingtrack.internal.peer.PeerClient;
 import org.landingtrack.internal.peer.PeerServer;
-import org.landingtrack.internal.peer.PeerSockets;
+import org.landingtrack.internal.peer.PeerTransport;
 import org.landingtrack.internal.platform.HttpObjectApi;
 import org.landingtrack.internal.platform.ObjectApi;
 import org.landingtrack.internal.settings.ControllerSettings;
-import org.landingtrack.internal.weights.HttpEngineOrders;
-import org.landingtrack.internal.weights.WeightRoller;
+import org.landingtrack.internal.weights.DataCentreRollout;
+import org.landingtrack.internal.weights.HttpEngineClient;
 
 /** Provides the objects that only controllers have. */
 @Module
 final class ControllerModule {
   private static final int MAX_GROUPS = 200_000;
   private static final int MAX_EXPLANATIONS = 20_000;
-  private static final long LEASE_MS = 6_000;
-  private static final long VISIBLE_WITHIN_MS = 3_000;
+  private static final long ROLLOUT_LEASE_MS = 6_000;
+  private static final long VISIBILITY_TIMEOUT_MS = 3_000;
 
   /**
    * Rate limits of one controller's calls to the platform, a share of the platform's own limits.
@@ -82,7 +82,7 @@
 
   @Provides
   @Singleton
-  PeerServer peerServer(PeerSockets sockets) {
+  PeerServer peerServer(PeerTransport sockets) {
     return PeerServer.open(settings.host(), settings.peerPort(), sockets);
   }
 
@@ -108,55 +108,55 @@
 
   @Provides
   @Singleton
-  ConfigFeed feed(
+  ConfigFeed configFeed(
       ObjectApi api, PeerClient peers, MembershipService membership, ConfigReplica replica) {
     return new ConfigFeed(api, peers, membership, replica, new SplittableRandom());
   }
 
   @Provides
   @Singleton
-  PrefixDirectory directory() {
+  PrefixDirectory prefixDirectory() {
     return new PrefixDirectory(MAX_GROUPS);
   }
 
   @Provides
   @Singleton
-  KeptStateKeeper kept(Supplier<Catalog> catalog, PrefixDirectory directory, Ticker ticker) {
-    return new KeptStateKeeper(catalog, directory, new HttpKeptStateClient(), ticker);
+  KvExporter kvCacheExporter(Supplier<Catalog> catalog, PrefixDirectory directory, Ticker ticker) {
+    return new KvExporter(catalog, directory, new HttpKvExportClient(), ticker);
   }
 
   @Provides
   @Singleton
-  FactRouter facts(
+  FactRouter factRouter(
       MembershipService membership,
       PeerClient peers,
       PrefixDirectory directory,
-      KeptStateKeeper exporter) {
+      KvExporter exporter) {
     return new FactRouter(
         settings.vm(),
-        () -> local(membership),
+        () -> localMembers(membership),
         peers,
         directory,
         batch -> {
           directory.apply(batch);
-          exporter.learned(batch);
+          exporter.onFacts(batch);
         });
   }
 
   @Provides
   @Singleton
-  FeedFollower follower(
+  FeedFollower feedFollower(
       Supplier<Catalog> catalog, MembershipService membership, FactRouter router) {
     return new FeedFollower(
         settings.vm(),
         settings.dataCentre(),
         catalog,
-        () -> local(membership),
+        () -> localMembers(membership),
         new HttpCacheFeed(),
         router);
   }
 
-  private List<Member> local(MembershipService membership) {
+  private List<Member> localMembers(MembershipService membership) {
     return membership.usable().stream()
         .filter(member -> member.dataCentre().equals(settings.dataCentre()))
         .toList();
@@ -164,62 +164,63 @@
 
   @Provides
   @Singleton
-  ClaimShards claims(ObjectApi api) {
+  ClaimShards claimShards(ObjectApi api) {
     return new ClaimShards(api, System::currentTimeMillis);
   }
 
   @Provides
   @Singleton
-  Explainer explainer() {
-    return new Explainer(MAX_EXPLANATIONS);
+  ExplanationStore explanationStore() {
+    return new ExplanationStore(MAX_EXPLANATIONS);
   }
 
   @Provides
   @Singleton
-  Gateways gateways() {
-    return new Gateways();
+  GatewayRevisions gatewayRevisions() {
+    return new GatewayRevisions();
   }
 
   @Provides
   @Singleton
-  LeavingServers leaving() {
+  LeavingServers leavingServers() {
     return new LeavingServers();
   }
 
   @Provides
   @Singleton
-  CatalogWriter writer(ObjectApi api, ConfigReplica replica) {
+  CatalogWriter catalogWriter(ObjectApi api, ConfigReplica replica) {
     return new CatalogWriter(
-        api, replica, System::currentTimeMillis, new SplittableRandom(), VISIBLE_WITHIN_MS);
+        api, replica, System::currentTimeMillis, new SplittableRandom(), VISIBILITY_TIMEOUT_MS);
   }
 
   @Provides
   @Singleton
-  WeightRoller roller(ObjectApi api, Supplier<Catalog> catalog, ConfigFeed feed, Ticker ticker) {
+  DataCentreRollout dataCentreRollout(
+      ObjectApi api, Supplier<Catalog> catalog, ConfigFeed feed, Ticker ticker) {
     Lease lease =
-        new Lease(api, ticker, "weights-" + settings.dataCentre(), settings.vm(), LEASE_MS);
-    return new WeightRoller(
+        new Lease(api, ticker, "weights-" + settings.dataCentre(), settings.vm(), ROLLOUT_LEASE_MS);
+    return new DataCentreRollout(
         settings.dataCentre(),
         () -> feed.parent().isEmpty(),
         catalog,
         lease,
-        new HttpEngineOrders(),
+        new HttpEngineClient(),
         ticker);
   }
 
   @Provides
   @Singleton
-  PeerRoutes routes(
+  PeerHandlers peerHandlers(
       ConfigReplica replica,
       MembershipService membership,
       PrefixDirectory directory,
-      KeptStateKeeper exporter,
+      KvExporter exporter,
       ClaimShards claims,
-      Explainer explanationStore,
-      Gateways gatewayRevisions,
+      ExplanationStore explanationStore,
+      GatewayRevisions gatewayRevisions,
       LeavingServers leavingServers,
       Ticker ticker) {
-    return new PeerRoutes(
+    return new PeerHandlers(
         replica,
         membership,
         directory,
--- a/landingtrack/src/main/java/org/landingtrack/internal/controller/ControllerProcess.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/controller/ControllerProcess.java
@@ -23,13 +23,13 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
-import org.landingtrack.internal.base.Duty;
+import org.landingtrack.internal.base.BoundedWorker;
 import org.landingtrack.internal.base.HttpServers;
-import org.landingtrack.internal.caller.RequestIds;
+import org.landingtrack.internal.caller.RequestIdGenerator;
 import org.landingtrack.internal.membership.Member;
 import org.landingtrack.internal.operator.OperatorServer;
 import org.landingtrack.internal.operator.OperatorService;
-import org.landingtrack.internal.operator.Rollouts;
+import org.landingtrack.internal.operator.RolloutCounter;
 import org.landingtrack.internal.peer.Messages.ExplainAnswer;
 import org.landingtrack.internal.peer.Messages.ExplainQuery;
 import org.landingtrack.internal.peer.Messages.InForce;
@@ -54,46 +54,46 @@
 public final class ControllerProcess implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("controller");
   private static final int HTTP_THREADS = 8;
-  private static final long HTTP_IDLE_MS = 30_000;
-  private static final long SEED_EVERY_MS = 1_000;
-  private static final int CALL_MS = 1_000;
+  private static final long HTTP_IDLE_TIMEOUT_MS = 30_000;
+  private static final long SEED_INTERVAL_MS = 1_000;
+  private static final int CALL_TIMEOUT_MS = 1_000;
 
   private final ControllerSettings settings;
-  private final ControllerComponent parts;
+  private final ControllerComponent component;
   private final VmList vmList;
-  private final Duty seeder = Duty.start("seed", 4);
-  private final OperatorServer operators;
-  private final Javalin http;
+  private final BoundedWorker memberUpdater = BoundedWorker.start("seed", 4);
+  private final OperatorServer operatorServer;
+  private final Javalin httpServer;
   private final CountDownLatch stopped = new CountDownLatch(1);
 
   private ControllerProcess(ControllerSettings settings, ControllerComponent component) {
     this.settings = settings;
-    this.parts = component;
+    this.component = component;
     this.vmList = new HttpVmList(settings.vmList());
-    component.routes().addTo(component.peerServer());
+    component.peerHandlers().registerWith(component.peerServer());
     OperatorService service =
         new OperatorService(
             component.objectApi(),
-            component.writer(),
+            component.catalogWriter(),
             component.replica(),
             component.membership(),
             component.objectApi()::reachable,
-            this::inForce,
-            this::explain);
-    this.operators =
+            this::countInForce,
+            this::findExplanation);
+    this.operatorServer =
         OperatorServer.open(
             settings.host(),
             settings.operatorsPort(),
             service,
             settings.operators(),
-            component.tls().identities());
+            component.tls().identity());
     addMetrics();
-    this.http =
+    this.httpServer =
         HttpServers.start(
             settings.host(),
             settings.httpPort(),
             HTTP_THREADS,
-            HTTP_IDLE_MS,
+            HTTP_IDLE_TIMEOUT_MS,
             component.metrics(),
             component.replica()::isComplete,
             config -> {});
@@ -107,42 +107,42 @@
             .controllerModule(new ControllerModule(settings))
             .build();
     ControllerProcess process = new ControllerProcess(settings, component);
-    process.seed();
-    process.seeder.every(SEED_EVERY_MS, process::seed);
-    component.feed().start();
-    component.follower().start();
-    component.roller().start();
+    process.updateMembers();
+    process.memberUpdater.runPeriodically(SEED_INTERVAL_MS, process::updateMembers);
+    component.configFeed().start();
+    component.feedFollower().start();
+    component.dataCentreRollout().start();
     log.info(
         "Controller {} listens on port {} for peers, {} for operators and {} for HTTP.",
         settings.vm(),
         component.peerServer().port(),
-        process.operators.port(),
-        process.http.port());
+        process.operatorServer.port(),
+        process.httpServer.port());
     return process;
   }
 
   private void addMetrics() {
-    var metrics = parts.metrics();
+    var metrics = component.metrics();
     metrics.gauge(
         "landingtrack_config_revision",
         "Revision of the configuration in force.",
-        () -> parts.replica().revision());
+        () -> component.replica().revision());
     metrics.gauge(
         "landingtrack_members",
         "Controllers that count as usable members.",
-        () -> parts.membership().usable().size());
+        () -> component.membership().usable().size());
     metrics.gauge(
         "landingtrack_directory_groups",
         "Prompt groups in the prefix directory.",
-        () -> parts.directory().size());
+        () -> component.prefixDirectory().size());
     metrics.gauge(
         "landingtrack_followed_servers",
         "Backend servers whose cache events this controller follows.",
-        () -> parts.follower().followed());
+        () -> component.feedFollower().followedServers());
     metrics.gauge(
         "landingtrack_platform_reachable",
         "1 while the Object API answers, otherwise 0.",
-        () -> parts.objectApi().reachable() ? 1 : 0);
+        () -> component.objectApi().reachable() ? 1 : 0);
   }
 
   /**
@@ -151,24 +151,24 @@
    * does not grow with the fleet. A controller that knows no other one also asks the configured
    * seeds.
    */
-  private void seed() {
+  private void updateMembers() {
     List<Member> found = new ArrayList<>();
-    Optional<Member> parent = parts.feed().parent();
+    Optional<Member> parent = component.configFeed().parent();
     if (parent.isPresent()) {
-      found.addAll(membersOf(parent.get().address()));
+      found.addAll(queryMembers(parent.get().address()));
     } else if (!settings.vmList().isEmpty()) {
-      found.addAll(listed());
+      found.addAll(readVmList());
     }
-    if (parts.membership().usable().size() <= 1) {
+    if (component.membership().usable().size() <= 1) {
       for (String address : settings.seeds()) {
-        found.addAll(membersOf(address));
+        found.addAll(queryMembers(address));
       }
     }
     found.removeIf(member -> member.vm().equals(settings.vm()));
-    parts.membership().seed(found);
+    component.membership().seed(found);
   }
 
-  private List<Member> listed() {
+  private List<Member> readVmList() {
     List<Member> members = new ArrayList<>();
     List<String> leaving = new ArrayList<>();
     try {
@@ -183,20 +183,22 @@
                   vm.name(), vm.dataCentre(), vm.region(), vm.address(), Member.State.ALIVE, 0));
         }
       }
-      parts.leaving().set(leaving);
+      component.leavingServers().set(leaving);
     } catch (PlatformException e) {
       log.debug("The VM list cannot be read: {}.", e.getMessage());
     }
     return members;
   }
 
-  private List<Member> membersOf(String address) {
+  private List<Member> queryMembers(String address) {
     List<Member> members = new ArrayList<>();
     try {
       MembersAnswer answer =
-          parts.peerClient().call(address, new MembersQuery(), MembersAnswer.class, CALL_MS);
-      if (parts.feed().parent().isPresent()) {
-        parts.leaving().set(answer.leaving());
+          component
+              .peerClient()
+              .call(address, new MembersQuery(), MembersAnswer.class, CALL_TIMEOUT_MS);
+      if (component.configFeed().parent().isPresent()) {
+        component.leavingServers().set(answer.leaving());
       }
       for (MemberInfo info : answer.members()) {
         members.add(
@@ -219,14 +221,14 @@
    * controller is reported by both, and counts once, with the higher revision. A controller that
    * does not answer counts as one on an older revision.
    */
-  private Rollouts.Count inForce(long revision) {
+  private RolloutCounter.Count countInForce(long revision) {
     Map<String, Long> revisions = new HashMap<>();
-    for (Member member : parts.membership().usable()) {
+    for (Member member : component.membership().usable()) {
       try {
         InForceAnswer answer =
-            parts
+            component
                 .peerClient()
-                .call(member.address(), new InForceQuery(), InForceAnswer.class, CALL_MS);
+                .call(member.address(), new InForceQuery(), InForceAnswer.class, CALL_TIMEOUT_MS);
         for (InForce process : answer.processes()) {
           revisions.merge(process.process(), process.revision(), Math::max);
         }
@@ -240,20 +242,20 @@
         inForce++;
       }
     }
-    return new Rollouts.Count(inForce, revisions.size());
+    return new RolloutCounter.Count(inForce, revisions.size());
   }
 
   /**
    * Returns the explanation of a request from this controller, else from the controller of the VM
    * that the request id names, else from any other one.
    */
-  private List<String> explain(String requestId) {
-    List<String> localSentences = parts.explainer().explain(requestId);
+  private List<String> findExplanation(String requestId) {
+    List<String> localSentences = component.explanationStore().find(requestId);
     if (!localSentences.isEmpty()) {
       return localSentences;
     }
-    String vm = RequestIds.vmOf(requestId);
-    List<Member> members = new ArrayList<>(parts.membership().usable());
+    String vm = RequestIdGenerator.vmOf(requestId);
+    List<Member> members = new ArrayList<>(component.membership().usable());
     members.sort(Comparator.comparing((Member member) -> !member.vm().equals(vm)));
     for (Member member : members) {
       if (member.vm().equals(settings.vm())) {
@@ -261,9 +263,13 @@
       }
       try {
         List<String> sentences =
-            parts
+            component
                 .peerClient()
-                .call(member.address(), new ExplainQuery(requestId), ExplainAnswer.class, CALL_MS)
+                .call(
+                    member.address(),
+                    new ExplainQuery(requestId),
+                    ExplainAnswer.class,
+                    CALL_TIMEOUT_MS)
                 .sentences();
         if (!sentences.isEmpty()) {
           return sentences;
@@ -277,17 +283,17 @@
 
   /** Returns the port for peers. */
   public int peerPort() {
-    return parts.peerServer().port();
+    return component.peerServer().port();
   }
 
   /** Returns the port for operators. */
   public int operatorsPort() {
-    return operators.port();
+    return operatorServer.port();
   }
 
   /** Returns the port for health and metrics. */
   public int httpPort() {
-    return http.port();
+    return httpServer.port();
   }
 
   /** Blocks until the controller is closed. */
@@ -299,18 +305,18 @@
   @Override
   public void close() {
     log.info("Controller {} is stopping.", settings.vm());
-    seeder.close();
-    parts.roller().close();
-    parts.follower().close();
-    parts.feed().close();
-    parts.membership().close();
-    operators.close();
-    parts.claims().close();
-    parts.kept().close();
-    parts.peerServer().close();
-    parts.peerClient().close();
-    http.stop();
-    parts.tls().close();
+    memberUpdater.close();
+    component.dataCentreRollout().close();
+    component.feedFollower().close();
+    component.configFeed().close();
+    component.membership().close();
+    operatorServer.close();
+    component.claimShards().close();
+    component.kvCacheExporter().close();
+    component.peerServer().close();
+    component.peerClient().close();
+    httpServer.stop();
+    component.tls().close();
     stopped.countDown();
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/controller/Gateways.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/controller/GatewayRevisions.java
@@ -24,17 +24,20 @@
 
 /**
  * Tracks the gateways that pull the configuration from this controller, and the revision that each
- * has in force. A gateway that does not pull for {@link #FORGET_S} seconds is removed. Thread-safe.
+ * has in force. A gateway that does not pull for {@link #EXPIRY_S} seconds is removed. Thread-safe.
  */
-final class Gateways {
-  private static final long FORGET_S = 15;
-  private static final int MAX = 1_000;
+final class GatewayRevisions {
+  private static final long EXPIRY_S = 15;
+  private static final int MAX_GATEWAYS = 1_000;
 
   private final Cache<String, Long> revisions =
-      Caffeine.newBuilder().maximumSize(MAX).expireAfterWrite(FORGET_S, TimeUnit.SECONDS).build();
+      Caffeine.newBuilder()
+          .maximumSize(MAX_GATEWAYS)
+          .expireAfterWrite(EXPIRY_S, TimeUnit.SECONDS)
+          .build();
 
   /** Records a pull by a gateway, which has {@code revision} in force. */
-  void pulled(String gateway, long revision) {
+  void recordPull(String gateway, long revision) {
     revisions.put(gateway, revision);
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/controller/PeerRoutes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/controller/PeerHandlers.java
@@ -20,16 +20,16 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import org.landingtrack.internal.admission.ShareBook;
+import org.landingtrack.internal.admission.QuotaAllocator;
 import org.landingtrack.internal.base.Ticker;
+import org.landingtrack.internal.claim.ClaimShard.ClaimResult;
 import org.landingtrack.internal.claim.ClaimShard.Outcome;
-import org.landingtrack.internal.claim.ClaimShard.Verdict;
 import org.landingtrack.internal.claim.ClaimShards;
 import org.landingtrack.internal.config.ConfigDelta;
 import org.landingtrack.internal.config.ConfigReplica;
 import org.landingtrack.internal.directory.PrefixDirectory;
-import org.landingtrack.internal.explain.Explainer;
-import org.landingtrack.internal.kept.KeptStateKeeper;
+import org.landingtrack.internal.explain.ExplanationStore;
+import org.landingtrack.internal.kept.KvExporter;
 import org.landingtrack.internal.membership.Member;
 import org.landingtrack.internal.membership.MembershipService;
 import org.landingtrack.internal.peer.Messages.ClaimAnswer;
@@ -58,82 +58,84 @@
 import org.landingtrack.internal.peer.PeerServer;
 
 /** Handles the messages that gateways and other controllers send to a controller. Thread-safe. */
-final class PeerRoutes {
+final class PeerHandlers {
   private static final int MAX_HOLDERS = 8;
-  private static final long CLAIM_MS = 3_500;
-  private static final long CLAIM_RETRY_MS = 1_000;
-  private static final long MAX_PULL_MS = 10_000;
+  private static final long CLAIM_TIMEOUT_MS = 3_500;
+  private static final long CLAIM_RETRY_AFTER_MS = 1_000;
+  private static final long MAX_PULL_WAIT_MS = 10_000;
 
   private final ConfigReplica replica;
   private final MembershipService membership;
   private final PrefixDirectory directory;
-  private final KeptStateKeeper kept;
+  private final KvExporter kvCacheExporter;
   private final ClaimShards claims;
-  private final Explainer explainer;
-  private final Gateways gateways;
-  private final LeavingServers leaving;
+  private final ExplanationStore explanationStore;
+  private final GatewayRevisions gatewayRevisions;
+  private final LeavingServers leavingServers;
   private final Ticker ticker;
-  private final ShareBook shareBook = new ShareBook();
+  private final QuotaAllocator quotaAllocator = new QuotaAllocator();
 
-  PeerRoutes(
+  PeerHandlers(
       ConfigReplica replica,
       MembershipService membership,
       PrefixDirectory directory,
-      KeptStateKeeper exporter,
+      KvExporter exporter,
       ClaimShards claims,
-      Explainer explanationStore,
-      Gateways gatewayRevisions,
+      ExplanationStore explanationStore,
+      GatewayRevisions gatewayRevisions,
       LeavingServers leavingServers,
       Ticker ticker) {
     this.replica = replica;
     this.membership = membership;
     this.directory = directory;
-    this.kept = exporter;
+    this.kvCacheExporter = exporter;
     this.claims = claims;
-    this.explainer = explanationStore;
-    this.gateways = gatewayRevisions;
-    this.leaving = leavingServers;
+    this.explanationStore = explanationStore;
+    this.gatewayRevisions = gatewayRevisions;
+    this.leavingServers = leavingServers;
     this.ticker = ticker;
   }
 
   /** Registers a handler for each message type. */
-  void addTo(PeerServer server) {
-    server.on(ConfigPull.class, this::config);
+  void registerWith(PeerServer server) {
+    server.on(ConfigPull.class, this::handleConfigPull);
     server.on(RevisionQuery.class, query -> new RevisionAnswer(replica.revision()));
-    server.on(InForceQuery.class, this::inForce);
-    server.on(MembersQuery.class, query -> new MembersAnswer(members(), leaving.servers()));
-    server.on(HoldersQuery.class, this::holders);
-    server.on(FactsUpdate.class, this::facts);
-    server.on(FactsReset.class, this::reset);
-    server.on(ClaimQuery.class, this::claim);
-    server.on(ClaimRelease.class, this::release);
-    server.on(ShareQuery.class, this::shares);
-    server.on(Explained.class, this::explained);
-    server.on(ExplainQuery.class, query -> new ExplainAnswer(explainer.explain(query.requestId())));
+    server.on(InForceQuery.class, this::handleInForceQuery);
+    server.on(
+        MembersQuery.class, query -> new MembersAnswer(memberInfos(), leavingServers.servers()));
+    server.on(HoldersQuery.class, this::handleHoldersQuery);
+    server.on(FactsUpdate.class, this::handleFactsUpdate);
+    server.on(FactsReset.class, this::handleFactsReset);
+    server.on(ClaimQuery.class, this::handleClaimQuery);
+    server.on(ClaimRelease.class, this::handleClaimRelease);
+    server.on(ShareQuery.class, this::handleShareQuery);
+    server.on(Explained.class, this::handleExplained);
+    server.on(
+        ExplainQuery.class, query -> new ExplainAnswer(explanationStore.find(query.requestId())));
   }
 
-  private ConfigAnswer config(ConfigPull pull) throws InterruptedException {
+  private ConfigAnswer handleConfigPull(ConfigPull pull) throws InterruptedException {
     if (pull.gateway()) {
-      gateways.pulled("gateway/" + pull.subscriber(), pull.afterRevision());
+      gatewayRevisions.recordPull("gateway/" + pull.subscriber(), pull.afterRevision());
     }
     if (!replica.isComplete()) {
       return new ConfigAnswer(false, new ConfigDelta(0, List.of()));
     }
-    long waitMs = Math.min(MAX_PULL_MS, pull.waitMs());
+    long waitMs = Math.min(MAX_PULL_WAIT_MS, pull.waitMs());
     return new ConfigAnswer(true, replica.awaitDeltaAfter(pull.afterRevision(), waitMs));
   }
 
-  private InForceAnswer inForce(InForceQuery query) {
-    List<InForce> processes = new ArrayList<>(gateways.inForce());
+  private InForceAnswer handleInForceQuery(InForceQuery query) {
+    List<InForce> processes = new ArrayList<>(gatewayRevisions.inForce());
     processes.add(new InForce("controller/" + membership.self().vm(), replica.revision()));
     return new InForceAnswer(processes);
   }
 
-  private List<MemberInfo> members() {
-    return membership.usable().stream().map(PeerRoutes::info).toList();
+  private List<MemberInfo> memberInfos() {
+    return membership.usable().stream().map(PeerHandlers::toMemberInfo).toList();
   }
 
-  private static MemberInfo info(Member member) {
+  private static MemberInfo toMemberInfo(Member member) {
     return new MemberInfo(
         member.vm(),
         member.dataCentre(),
@@ -143,35 +145,38 @@
         member.incarnation());
   }
 
-  private HoldersAnswer holders(HoldersQuery query) {
+  private HoldersAnswer handleHoldersQuery(HoldersQuery query) {
     HoldersAnswer answer =
         new HoldersAnswer(directory.holders(query.group(), query.chain(), MAX_HOLDERS));
-    kept.visited(query.service(), query.group(), query.chain());
+    kvCacheExporter.onRequest(query.service(), query.group(), query.chain());
     return answer;
   }
 
-  private Taken facts(FactsUpdate update) {
+  private Taken handleFactsUpdate(FactsUpdate update) {
     directory.apply(update.facts());
-    kept.learned(update.facts());
+    kvCacheExporter.onFacts(update.facts());
     return new Taken();
   }
 
-  private Taken reset(FactsReset reset) {
+  private Taken handleFactsReset(FactsReset reset) {
     directory.dropServer(reset.server());
     return new Taken();
   }
 
-  private ClaimAnswer claim(ClaimQuery query) throws InterruptedException {
-    Verdict result;
+  private ClaimAnswer handleClaimQuery(ClaimQuery query) throws InterruptedException {
+    ClaimResult result;
     try {
-      result = claims.claim(query.keyHash(), query.claimant()).get(CLAIM_MS, TimeUnit.MILLISECONDS);
+      result =
+          claims
+              .claim(query.keyHash(), query.claimant())
+              .get(CLAIM_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      result = new Verdict(Outcome.UNAVAILABLE, "");
+      result = new ClaimResult(Outcome.UNAVAILABLE, "");
     }
-    return new ClaimAnswer(result.outcome().name(), result.by(), CLAIM_RETRY_MS);
+    return new ClaimAnswer(result.outcome().name(), result.holder(), CLAIM_RETRY_AFTER_MS);
   }
 
-  private Taken release(ClaimRelease release) {
+  private Taken handleClaimRelease(ClaimRelease release) {
     claims.release(release.keyHash(), release.claimant());
     return new Taken();
   }
@@ -180,20 +185,20 @@
    * Returns the gateway's shares of its teams' limits. Each entry VM runs one gateway and one
    * controller, so the number of usable members is also the number of gateways.
    */
-  private ShareAnswer shares(ShareQuery query) {
+  private ShareAnswer handleShareQuery(ShareQuery query) {
     int gatewayCount = membership.usable().size();
     long now = ticker.millis();
     List<Double> shares = new ArrayList<>();
     for (int i = 0; i < query.teams().size(); i++) {
       double wanted = query.wanted().get(i);
       shares.add(
-          shareBook.report(query.teams().get(i), query.gateway(), wanted, gatewayCount, now));
+          quotaAllocator.report(query.teams().get(i), query.gateway(), wanted, gatewayCount, now));
     }
     return new ShareAnswer(shares);
   }
 
-  private Taken explained(Explained explained) {
-    explained.explanations().forEach(explainer::keep);
+  private Taken handleExplained(Explained explained) {
+    explained.explanations().forEach(explanationStore::addReceived);
     return new Taken();
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/directory/CacheFeed.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/directory/CacheFeed.java
@@ -27,10 +27,10 @@
    *
    * @param group key of the first block of the prompt
    * @param key key of the block
-   * @param kept id of the manifest with the block; empty for an engine
+   * @param manifestId id of the manifest with the block; empty for an engine
    * @param held true if the server holds the block, false if it no longer does
    */
-  record Event(String group, String key, String kept, boolean held) {}
+  record Event(String group, String key, String manifestId, boolean held) {}
 
   /**
    * A batch of events.
--- a/landingtrack/src/main/java/org/landingtrack/internal/directory/FactRouter.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/directory/FactRouter.java
@@ -38,14 +38,14 @@
  */
 public final class FactRouter implements FactSink {
   private static final Logger log = LoggerFactory.getLogger("directory");
-  private static final int COPIES = 2;
-  private static final int CALL_MS = 1_000;
+  private static final int REPLICAS = 2;
+  private static final int CALL_TIMEOUT_MS = 1_000;
 
   private final String self;
   private final Supplier<List<Member>> members;
   private final PeerClient peers;
-  private final PrefixDirectory own;
-  private final Consumer<List<Fact>> local;
+  private final PrefixDirectory directory;
+  private final Consumer<List<Fact>> localHandler;
 
   /**
    * Creates a router.
@@ -64,12 +64,12 @@
     this.self = self;
     this.members = members;
     this.peers = peers;
-    this.own = directory;
-    this.local = localHandler;
+    this.directory = directory;
+    this.localHandler = localHandler;
   }
 
   @Override
-  public void facts(List<Fact> facts) {
+  public void publish(List<Fact> facts) {
     List<Member> controllers = members.get();
     Map<String, List<Member>> ownersOfGroup = new HashMap<>();
     Map<Member, List<Fact>> batches = new HashMap<>();
@@ -77,7 +77,7 @@
       List<Member> owners =
           ownersOfGroup.computeIfAbsent(
               fact.group(), group -> Hashes.rendezvous(group, controllers, Member::vm));
-      for (int i = 0; i < Math.min(COPIES, owners.size()); i++) {
+      for (int i = 0; i < Math.min(REPLICAS, owners.size()); i++) {
         batches.computeIfAbsent(owners.get(i), owner -> new ArrayList<>()).add(fact);
       }
     }
@@ -86,11 +86,12 @@
 
   private void send(Member owner, List<Fact> batch) {
     if (owner.vm().equals(self)) {
-      local.accept(batch);
+      localHandler.accept(batch);
       return;
     }
     try {
-      var unused = peers.call(owner.address(), new FactsUpdate(batch), Taken.class, CALL_MS);
+      var unused =
+          peers.call(owner.address(), new FactsUpdate(batch), Taken.class, CALL_TIMEOUT_MS);
     } catch (PeerException e) {
       // Facts are hints, and the second owner of the group receives them too.
       log.debug("Could not send facts to controller {}: {}.", owner.vm(), e.getMessage());
@@ -101,11 +102,12 @@
   public void reset(String server) {
     for (Member member : members.get()) {
       if (member.vm().equals(self)) {
-        own.dropServer(server);
+        directory.dropServer(server);
         continue;
       }
       try {
-        var unused = peers.call(member.address(), new FactsReset(server), Taken.class, CALL_MS);
+        var unused =
+            peers.call(member.address(), new FactsReset(server), Taken.class, CALL_TIMEOUT_MS);
       } catch (PeerException e) {
         log.debug(
             "Could not send the reset of a server to controller {}: {}.",
--- a/landingtrack/src/main/java/org/landingtrack/internal/directory/FactSink.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/directory/FactSink.java
@@ -24,7 +24,7 @@
  */
 public interface FactSink {
   /** Passes facts on to the owners of their groups. */
-  void facts(List<Fact> facts);
+  void publish(List<Fact> facts);
 
   /** Invalidates all facts about a server; its current facts follow. */
   void reset(String server);
--- a/landingtrack/src/main/java/org/landingtrack/internal/directory/FeedFollower.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/directory/FeedFollower.java
@@ -23,7 +23,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Supplier;
-import org.landingtrack.internal.base.Duty;
+import org.landingtrack.internal.base.BoundedWorker;
 import org.landingtrack.internal.base.Hashes;
 import org.landingtrack.internal.catalog.Catalog;
 import org.landingtrack.internal.catalog.Catalog.NamedBackendServer;
@@ -46,10 +46,10 @@
  */
 public final class FeedFollower implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("directory");
-  private static final long WAIT_MS = 2_000;
-  private static final long FAILED_PAUSE_MS = 500;
-  private static final long REASSIGN_MS = 1_000;
-  private static final int MAX_FOLLOWED = 256;
+  private static final long LONG_POLL_MS = 2_000;
+  private static final long RETRY_DELAY_MS = 500;
+  private static final long REASSIGN_INTERVAL_MS = 1_000;
+  private static final int MAX_FOLLOWED_SERVERS = 256;
 
   private final String self;
   private final String dataCentre;
@@ -57,8 +57,8 @@
   private final Supplier<List<Member>> members;
   private final CacheFeed feed;
   private final FactSink sink;
-  private final Map<String, Follow> follows = new ConcurrentHashMap<>();
-  private final Duty assigner = Duty.start("feed-assign", 4);
+  private final Map<String, Subscription> subscriptions = new ConcurrentHashMap<>();
+  private final BoundedWorker assigner = BoundedWorker.start("feed-assign", 4);
 
   public FeedFollower(
       String self,
@@ -77,29 +77,29 @@
 
   /** Starts the assignment of servers, which is repeated periodically. */
   public void start() {
-    assigner.every(REASSIGN_MS, this::reassign);
+    assigner.runPeriodically(REASSIGN_INTERVAL_MS, this::reassign);
   }
 
   private void reassign() {
-    Map<String, NamedBackendServer> owned = owned();
-    Set<String> released = new HashSet<>(follows.keySet());
+    Map<String, NamedBackendServer> owned = ownedServers();
+    Set<String> released = new HashSet<>(subscriptions.keySet());
     released.removeAll(owned.keySet());
     for (String name : released) {
-      Follow removed = follows.remove(name);
+      Subscription removed = subscriptions.remove(name);
       if (removed != null) {
         removed.stop();
       }
     }
     for (NamedBackendServer server : owned.values()) {
-      if (follows.size() >= MAX_FOLLOWED) {
-        log.warn("More than {} servers to follow; ignoring the rest.", MAX_FOLLOWED);
+      if (subscriptions.size() >= MAX_FOLLOWED_SERVERS) {
+        log.warn("More than {} servers to follow; ignoring the rest.", MAX_FOLLOWED_SERVERS);
         break;
       }
-      follows.computeIfAbsent(server.name(), name -> new Follow(server).started());
+      subscriptions.computeIfAbsent(server.name(), name -> new Subscription(server).start());
     }
   }
 
-  private Map<String, NamedBackendServer> owned() {
+  private Map<String, NamedBackendServer> ownedServers() {
     Map<String, NamedBackendServer> owned = new HashMap<>();
     List<Member> controllers = members.get();
     Catalog current = catalog.get();
@@ -123,29 +123,29 @@
   }
 
   /** Returns the number of servers that are followed. */
-  public int followed() {
-    return follows.size();
+  public int followedServers() {
+    return subscriptions.size();
   }
 
   @Override
   public void close() {
     assigner.close();
-    follows.values().forEach(Follow::stop);
+    subscriptions.values().forEach(Subscription::stop);
   }
 
   /** Reads the feed of one server on a thread of its own. */
-  private final class Follow {
+  private final class Subscription {
     private final NamedBackendServer server;
     private final Thread thread;
     private volatile boolean stopped;
-    private long after = -1;
+    private long lastSequence = -1;
 
-    Follow(NamedBackendServer server) {
+    Subscription(NamedBackendServer server) {
       this.server = server;
-      this.thread = Duty.daemon("feed-" + server.name()).newThread(this::run);
+      this.thread = BoundedWorker.daemonThreadFactory("feed-" + server.name()).newThread(this::run);
     }
 
-    Follow started() {
+    Subscription start() {
       thread.start();
       return this;
     }
@@ -159,7 +159,7 @@
       boolean reachable = true;
       while (!stopped) {
         try {
-          followOnce();
+          poll();
           reachable = true;
         } catch (CacheFeedException e) {
           if (reachable) {
@@ -168,44 +168,45 @@
             sink.reset(server.name());
           }
           reachable = false;
-          after = -1;
-          pause();
+          lastSequence = -1;
+          sleepBeforeRetry();
         }
       }
     }
 
-    private void pause() {
+    private void sleepBeforeRetry() {
       try {
-        Thread.sleep(FAILED_PAUSE_MS);
+        Thread.sleep(RETRY_DELAY_MS);
       } catch (InterruptedException e) {
         stopped = true;
       }
     }
 
-    private void followOnce() throws CacheFeedException {
+    private void poll() throws CacheFeedException {
       String address = server.spec().address();
-      if (after < 0) {
+      if (lastSequence < 0) {
         Events listing = feed.listing(address);
         sink.reset(server.name());
-        sink.facts(facts(listing));
-        after = listing.sequence();
+        sink.publish(toFacts(listing));
+        lastSequence = listing.sequence();
         return;
       }
-      Events events = feed.events(address, after, WAIT_MS);
+      Events events = feed.events(address, lastSequence, LONG_POLL_MS);
       if (events.gap()) {
-        after = -1;
+        lastSequence = -1;
         return;
       }
       if (!events.events().isEmpty()) {
-        sink.facts(facts(events));
+        sink.publish(toFacts(events));
       }
-      after = events.sequence();
+      lastSequence = events.sequence();
     }
 
-    private List<Fact> facts(Events events) {
+    private List<Fact> toFacts(Events events) {
       List<Fact> facts = new ArrayList<>(events.events().size());
       for (CacheFeed.Event event : events.events()) {
-        facts.add(new Fact(event.group(), event.key(), server.name(), event.kept(), event.held()));
+        facts.add(
+            new Fact(event.group(), event.key(), server.name(), event.manifestId(), event.held()));
       }
       return facts;
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/directory/HttpCacheFeed.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/directory/HttpCacheFeed.java
@@ -27,7 +27,7 @@
 
 /** {@link CacheFeed} over HTTP, with long polling for events. Thread-safe. */
 public final class HttpCacheFeed implements CacheFeed {
-  private static final long SLACK_MS = 2_000;
+  private static final long RESPONSE_TIMEOUT_MS = 2_000;
 
   private final OkHttpClient client = new OkHttpClient();
 
@@ -35,12 +35,12 @@
   public Events events(String address, long afterSequence, long waitMs) throws CacheFeedException {
     return get(
         "http://" + address + "/v1/cache/events?after=" + afterSequence + "&waitMs=" + waitMs,
-        waitMs + SLACK_MS);
+        waitMs + RESPONSE_TIMEOUT_MS);
   }
 
   @Override
   public Events listing(String address) throws CacheFeedException {
-    return get("http://" + address + "/v1/cache", SLACK_MS);
+    return get("http://" + address + "/v1/cache", RESPONSE_TIMEOUT_MS);
   }
 
   private Events get(String url, long timeoutMs) throws CacheFeedException {
--- a/landingtrack/src/main/java/org/landingtrack/internal/directory/PrefixDirectory.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/directory/PrefixDirectory.java
@@ -48,25 +48,26 @@
   /**
    * The location of a copy of a block.
    *
-   * @param kept id of the manifest if the server is a store VM; empty for an engine
+   * @param manifestId id of the manifest if the server is a store VM; empty for an engine
    */
-  private record Place(String server, String kept) {}
+  private record Location(String server, String manifestId) {}
 
   /** The block locations of one group. Thread-safe. */
   private static final class Group {
-    private final Map<String, Set<Place>> placesByKey = new HashMap<>();
+    private final Map<String, Set<Location>> locationsByKey = new HashMap<>();
 
     synchronized void apply(Fact fact) {
-      Place location = new Place(fact.server(), fact.kept());
+      Location location = new Location(fact.server(), fact.kept());
       if (fact.held()) {
-        if (placesByKey.size() < MAX_BLOCKS_PER_GROUP || placesByKey.containsKey(fact.key())) {
-          placesByKey.computeIfAbsent(fact.key(), key -> new HashSet<>(2)).add(location);
+        if (locationsByKey.size() < MAX_BLOCKS_PER_GROUP
+            || locationsByKey.containsKey(fact.key())) {
+          locationsByKey.computeIfAbsent(fact.key(), key -> new HashSet<>(2)).add(location);
         }
         return;
       }
-      Set<Place> locations = placesByKey.get(fact.key());
+      Set<Location> locations = locationsByKey.get(fact.key());
       if (locations != null && locations.remove(location) && locations.isEmpty()) {
-        placesByKey.remove(fact.key());
+        locationsByKey.remove(fact.key());
       }
     }
 
@@ -75,11 +76,11 @@
      * number of blocks it holds without a gap, counted from the first block.
      */
     synchronized List<Holder> holders(List<String> chain) {
-      Map<Place, Integer> depths = new HashMap<>();
+      Map<Location, Integer> depths = new HashMap<>();
       for (int i = 0; i < chain.size(); i++) {
         int depth = i;
         boolean found = false;
-        for (Place location : placesByKey.getOrDefault(chain.get(i), Set.of())) {
+        for (Location location : locationsByKey.getOrDefault(chain.get(i), Set.of())) {
           if (depths.getOrDefault(location, 0) == depth) {
             depths.put(location, depth + 1);
             found = true;
@@ -91,16 +92,17 @@
       }
       List<Holder> holders = new ArrayList<>(depths.size());
       depths.forEach(
-          (location, depth) -> holders.add(new Holder(location.server, depth, location.kept)));
+          (location, depth) ->
+              holders.add(new Holder(location.server, depth, location.manifestId)));
       holders.sort(Comparator.comparingInt(Holder::depth).reversed().thenComparing(Holder::server));
       return holders;
     }
 
     synchronized void dropServer(String server) {
-      for (Set<Place> locations : placesByKey.values()) {
+      for (Set<Location> locations : locationsByKey.values()) {
         locations.removeIf(location -> location.server.equals(server));
       }
-      placesByKey.values().removeIf(Set::isEmpty);
+      locationsByKey.values().removeIf(Set::isEmpty);
     }
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ClaimGate.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ClaimRegistry.java
@@ -16,7 +16,7 @@
 package org.landingtrack.internal.dispatch;
 
 /** Claims request keys for requests that must run at most once. Implementations are thread-safe. */
-public interface ClaimGate {
+public interface ClaimRegistry {
   /**
    * Claims a request key for a request.
    *
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/KeptRestore.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/KvCacheRestorer.java
@@ -19,8 +19,8 @@
 import java.util.Optional;
 import org.landingtrack.internal.catalog.BackendServer;
 import org.landingtrack.internal.catalog.Kind;
-import org.landingtrack.internal.engine.KeptImport;
-import org.landingtrack.internal.explain.Trace;
+import org.landingtrack.internal.engine.KvCacheImport;
+import org.landingtrack.internal.explain.ExplanationBuilder;
 import org.landingtrack.internal.kept.LinkBudget;
 import org.landingtrack.internal.prefix.PrefixChain;
 import org.landingtrack.internal.routing.RouteOption;
@@ -29,22 +29,22 @@
  * Restores stored KV cache blocks to the selected engine before it gets the request. If a restore
  * fails, the engine recomputes the blocks. Used by the thread of one request.
  */
-final class KeptRestore {
+final class KvCacheRestorer {
   /** Longest time for which an engine pins restored blocks for the request that needs them. */
   private static final long MAX_PIN_MS = 5_000;
 
   private static final long MIN_TIMEOUT_MS = 50;
 
   /** The timeout of a restore, as a multiple of its estimated duration. */
-  private static final int SLACK = 4;
+  private static final int TIMEOUT_FACTOR = 4;
 
-  private final ModelDispatcher parts;
-  private final LinkBudget links;
-  private final Trace trace;
+  private final ModelDispatcher dispatcher;
+  private final LinkBudget linkBudget;
+  private final ExplanationBuilder trace;
 
-  KeptRestore(ModelDispatcher dispatcher, LinkBudget linkBudget, Trace trace) {
-    this.parts = dispatcher;
-    this.links = linkBudget;
+  KvCacheRestorer(ModelDispatcher dispatcher, LinkBudget linkBudget, ExplanationBuilder trace) {
+    this.dispatcher = dispatcher;
+    this.linkBudget = linkBudget;
     this.trace = trace;
   }
 
@@ -56,40 +56,41 @@
    * @param bytesPerSecond this gateway's share of the link budget
    * @param deadlineMs deadline of the request on the monotonic clock; ends the pin of the blocks
    */
-  void run(
+  void restore(
       RouteOption option,
       PrefixChain chain,
       String engine,
       double bytesPerSecond,
       long deadlineMs) {
-    if (!option.restores() || !links.tryTake(option.linkBytes(), bytesPerSecond)) {
+    if (!option.needsRestore() || !linkBudget.tryAcquire(option.linkBytes(), bytesPerSecond)) {
       return;
     }
-    Optional<String> storeAddress = address(option.restoreFrom());
+    Optional<String> storeAddress = findStoreAddress(option.restoreFrom());
     if (storeAddress.isEmpty()) {
       return;
     }
-    long startMs = parts.ticker.millis();
+    long startMs = dispatcher.ticker.millis();
     List<String> keys = chain.keys().subList(0, option.reusedBlocks());
-    long timeoutMs = Math.max(MIN_TIMEOUT_MS, (long) (SLACK * option.restoreMs()));
+    long timeoutMs = Math.max(MIN_TIMEOUT_MS, (long) (TIMEOUT_FACTOR * option.restoreMs()));
     long pinMs = Math.min(MAX_PIN_MS, Math.max(1, deadlineMs - startMs));
-    KeptImport kvImport = new KeptImport(storeAddress.get(), option.kept(), keys, pinMs, timeoutMs);
-    long movedBytes = parts.client.importKept(engine, kvImport);
-    long tookMs = Math.max(1, parts.ticker.millis() - startMs);
+    KvCacheImport kvImport =
+        new KvCacheImport(storeAddress.get(), option.manifest(), keys, pinMs, timeoutMs);
+    long movedBytes = dispatcher.client.importKvCache(engine, kvImport);
+    long tookMs = Math.max(1, dispatcher.ticker.millis() - startMs);
     if (movedBytes == 0) {
-      links.failed();
-      trace.say(
+      linkBudget.recordFailure();
+      trace.add(
           "The restore from "
               + option.restoreFrom()
               + " moved no bytes; the engine recomputes the blocks.");
       return;
     }
-    links.observed(movedBytes, (double) tookMs);
-    trace.say("Restored " + movedBytes + " bytes of KV cache in " + tookMs + " ms.");
+    linkBudget.recordTransfer(movedBytes, (double) tookMs);
+    trace.add("Restored " + movedBytes + " bytes of KV cache in " + tookMs + " ms.");
   }
 
-  private Optional<String> address(String store) {
-    return parts
+  private Optional<String> findStoreAddress(String store) {
+    return dispatcher
         .catalog
         .get()
         .find(Kind.BACKEND_SERVER, store, BackendServer.class)
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ModelDispatcher.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ModelDispatcher.java
@@ -21,7 +21,7 @@
 import org.landingtrack.internal.catalog.Catalog;
 import org.landingtrack.internal.engine.BackendClient;
 import org.landingtrack.internal.engine.TokenSink;
-import org.landingtrack.internal.explain.Trace;
+import org.landingtrack.internal.explain.ExplanationBuilder;
 import org.landingtrack.internal.routing.RoutingPolicy;
 import org.landingtrack.internal.routing.ServerTable;
 
@@ -32,18 +32,18 @@
 public final class ModelDispatcher {
   final Supplier<Catalog> catalog;
   final ServerTable servers;
-  final ServiceGates gates;
+  final ServiceLimiters serviceLimiters;
   final RoutingPolicy policy;
   final BackendClient client;
   final HolderLookup holders;
-  final ClaimGate claims;
+  final ClaimRegistry claims;
   final Ticker ticker;
   final String dataCentre;
 
   private ModelDispatcher(Builder builder) {
     this.catalog = builder.catalog;
     this.servers = builder.servers;
-    this.gates = builder.gates;
+    this.serviceLimiters = builder.serviceLimiters;
     this.policy = builder.policy;
     this.client = builder.client;
     this.holders = builder.holders;
@@ -60,32 +60,32 @@
    * @throws org.landingtrack.LandingtrackException if there is no complete answer; its kind says
    *     whether the request ran
    */
-  public DispatchReport run(ModelRequest request, TokenSink sink, Trace trace)
+  public DispatchReport run(ModelRequest request, TokenSink sink, ExplanationBuilder trace)
       throws InterruptedException {
-    return new ModelRun(this, request, sink, trace).run();
+    return new ModelRequestExecution(this, request, sink, trace).run();
   }
 
   /** Builds a {@link ModelDispatcher}. Not thread-safe. */
   public static final class Builder {
     private final Supplier<Catalog> catalog;
     private final ServerTable servers;
-    private final ServiceGates gates;
+    private final ServiceLimiters serviceLimiters;
     private final BackendClient client;
     private final RoutingPolicy policy;
     private HolderLookup holders = (service, chain) -> List.of();
-    private ClaimGate claims = new RefusingClaimGate();
+    private ClaimRegistry claims = new RefusingClaimRegistry();
     private Ticker ticker = Ticker.SYSTEM;
     private String dataCentre = "";
 
     public Builder(
         Supplier<Catalog> catalog,
         ServerTable servers,
-        ServiceGates serviceLimiters,
+        ServiceLimiters serviceLimiters,
         BackendClient client,
         RoutingPolicy policy) {
       this.catalog = catalog;
       this.servers = servers;
-      this.gates = serviceLimiters;
+      this.serviceLimiters = serviceLimiters;
       this.client = client;
       this.policy = policy;
     }
@@ -97,7 +97,7 @@
     }
 
     /** Sets where request keys are claimed; by default every claim is refused. */
-    public Builder setClaims(ClaimGate claims) {
+    public Builder setClaims(ClaimRegistry claims) {
       this.claims = claims;
       return this;
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ModelRun.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ModelRequestExecution.java
@@ -29,7 +29,7 @@
 import org.landingtrack.internal.engine.CompletionCall;
 import org.landingtrack.internal.engine.CompletionOutcome;
 import org.landingtrack.internal.engine.TokenSink;
-import org.landingtrack.internal.explain.Trace;
+import org.landingtrack.internal.explain.ExplanationBuilder;
 import org.landingtrack.internal.prefix.PrefixChain;
 import org.landingtrack.internal.routing.LoadReport;
 import org.landingtrack.internal.routing.RouteDecision;
@@ -45,9 +45,9 @@
  * attempt. Once tokens were delivered to the caller, every further attempt uses the same weight
  * version.
  */
-final class ModelRun implements TokenSink {
+final class ModelRequestExecution implements TokenSink {
   /** Longest gap between two tokens; also the time limit for the first token after a resume. */
-  private static final long IDLE_MS = 10_000;
+  private static final long STREAM_IDLE_TIMEOUT_MS = 10_000;
 
   private static final int MAX_ATTEMPTS = 6;
 
@@ -56,53 +56,54 @@
    */
   private static final int MAX_WEIGHT_REFUSALS = 64;
 
-  private static final int EXPLAINED_OPTIONS = 4;
+  private static final int MAX_EXPLAINED_OPTIONS = 4;
 
-  private final ModelDispatcher parts;
+  private final ModelDispatcher dispatcher;
   private final ModelRequest request;
-  private final TokenSink caller;
-  private final Trace trace;
-  private final ServiceGates.Gate gate;
-  private final RouteQueryFactory queries;
-  private final Map<String, PrefixChain> chains = new HashMap<>();
-  private final Set<String> excluded = new HashSet<>();
+  private final TokenSink callerSink;
+  private final ExplanationBuilder trace;
+  private final ServiceLimiters.Limiters limiters;
+  private final RouteQueryFactory queryFactory;
+  private final Map<String, PrefixChain> chainsByVersion = new HashMap<>();
+  private final Set<String> excludedServers = new HashSet<>();
   private final long startMs;
 
-  private int delivered;
+  private int deliveredTokens;
   private String deliveredVersion = "";
   private double ttftMs = -1;
   private boolean claimed;
   private boolean mayHaveRun;
   private int attempts;
   private int weightRefusals;
-  private @Nullable ServerState current;
-  private long currentTokens;
-  private long sentTokens;
+  private @Nullable ServerState currentServer;
+  private long pendingPrefillTokens;
+  private long prefillTokens;
   private long sentMs;
 
-  ModelRun(ModelDispatcher dispatcher, ModelRequest request, TokenSink sink, Trace trace) {
-    this.parts = dispatcher;
+  ModelRequestExecution(
+      ModelDispatcher dispatcher, ModelRequest request, TokenSink sink, ExplanationBuilder trace) {
+    this.dispatcher = dispatcher;
     this.request = request;
-    this.caller = sink;
+    this.callerSink = sink;
     this.trace = trace;
-    this.gate = dispatcher.gates.gate(request.serviceName(), request.service());
-    this.queries = new RouteQueryFactory(dispatcher, request, gate);
+    this.limiters = dispatcher.serviceLimiters.limiters(request.serviceName(), request.service());
+    this.queryFactory = new RouteQueryFactory(dispatcher, request, limiters);
     this.startMs = dispatcher.ticker.millis();
   }
 
   DispatchReport run() throws InterruptedException {
-    gate.retries().request(request.service().retryPercent());
-    gate.queue().enter(request.team(), request.weight(), request.deadlineMs());
-    long enteredMs = parts.ticker.millis();
+    limiters.retries().recordRequest(request.service().retryPercent());
+    limiters.queue().acquire(request.team(), request.weight(), request.deadlineMs());
+    long enteredMs = dispatcher.ticker.millis();
     if (enteredMs - startMs > 1) {
-      trace.say("The request waited " + (enteredMs - startMs) + " ms in the queue.");
+      trace.add("The request waited " + (enteredMs - startMs) + " ms in the queue.");
     }
     try {
-      return attemptAll();
+      return runAttempts();
     } catch (LandingtrackException e) {
-      throw settle(e);
+      throw handleFailure(e);
     } finally {
-      gate.queue().leave(parts.ticker.millis() - enteredMs);
+      limiters.queue().release(dispatcher.ticker.millis() - enteredMs);
     }
   }
 
@@ -110,7 +111,7 @@
    * Returns the exception for the caller. Releases the claim if nothing ran. Reports an unknown
    * outcome instead of "not run" if an earlier attempt may have run.
    */
-  private LandingtrackException settle(LandingtrackException failure) {
+  private LandingtrackException handleFailure(LandingtrackException failure) {
     boolean isNotRun = failure.kind().runState() == RunState.NOT_RUN;
     if (isNotRun && mayHaveRun) {
       return new LandingtrackException(
@@ -118,30 +119,30 @@
           "an earlier attempt may have run; the last one failed: " + failure.getMessage());
     }
     if (claimed && isNotRun) {
-      parts.claims.release(request.keyHash(), request.id());
+      dispatcher.claims.release(request.keyHash(), request.id());
     }
     return failure;
   }
 
-  private DispatchReport attemptAll() {
+  private DispatchReport runAttempts() {
     while (true) {
       checkDeadline();
-      Route route = route();
-      claimOnce();
+      Route route = selectRoute();
+      claimRequestKey();
       attempts++;
       CompletionOutcome outcome = attempt(route);
-      DispatchReport report = conclude(route, outcome);
+      DispatchReport report = handleOutcome(route, outcome);
       if (report != null) {
         return report;
       }
-      if (isAboutWeights(outcome) && weightRefusals++ < MAX_WEIGHT_REFUSALS) {
+      if (isWeightRefusal(outcome) && weightRefusals++ < MAX_WEIGHT_REFUSALS) {
         // A refusal that only reports the loaded weights is not a failure, so it costs no retry.
         attempts--;
         continue;
       }
-      if (attempts >= MAX_ATTEMPTS || !gate.retries().tryRetry()) {
+      if (attempts >= MAX_ATTEMPTS || !limiters.retries().tryAcquire()) {
         throw new LandingtrackException(
-            delivered > 0 ? ErrorKind.OUTCOME_UNKNOWN : ErrorKind.OVERLOADED,
+            deliveredTokens > 0 ? ErrorKind.OUTCOME_UNKNOWN : ErrorKind.OVERLOADED,
             "no retry is left after "
                 + attempts
                 + " attempts (attempt limit or retry budget reached)");
@@ -149,36 +150,38 @@
     }
   }
 
-  private static boolean isAboutWeights(CompletionOutcome outcome) {
-    return outcome instanceof CompletionOutcome.NotRun notRun && notRun.isAboutWeights();
+  private static boolean isWeightRefusal(CompletionOutcome outcome) {
+    return outcome instanceof CompletionOutcome.NotRun notRun && notRun.isWeightRefusal();
   }
 
   private void checkDeadline() {
-    if (delivered == 0 && parts.ticker.millis() >= request.deadlineMs()) {
+    if (deliveredTokens == 0 && dispatcher.ticker.millis() >= request.deadlineMs()) {
       throw new LandingtrackException(
           ErrorKind.DEADLINE_BEFORE_RUN, "the deadline passed before the request was sent");
     }
   }
 
   /** The selected server with its estimate, the weight version to request and the block keys. */
-  private record Route(ServerState state, RouteOption option, String version, PrefixChain chain) {}
+  private record Route(
+      ServerState serverState, RouteOption option, String version, PrefixChain chain) {}
 
-  private Route route() {
-    Catalog catalog = parts.catalog.get();
-    VersionChoice selection = chooseVersion(catalog);
+  private Route selectRoute() {
+    Catalog catalog = dispatcher.catalog.get();
+    VersionSelection selection = selectVersion(catalog);
     String version = selection.version();
-    PrefixChain chain = chain(version);
-    RouteDecision decision = parts.policy.decide(queries.query(catalog, chain, selection));
+    PrefixChain chain = prefixChain(version);
+    RouteDecision decision =
+        dispatcher.policy.decide(queryFactory.createQuery(catalog, chain, selection));
     Optional<RouteOption> chosen = decision.chosen();
-    decision.rejected().forEach(trace::say);
+    decision.rejectionReasons().forEach(trace::add);
     if (chosen.isEmpty()) {
       throw new LandingtrackException(
           ErrorKind.NO_BACKEND_SERVER,
           "no usable backend server of " + request.serviceName() + " for the request now");
     }
-    explain(decision, version);
-    refuseIfHopeless(chosen.get());
-    Optional<ServerState> state = parts.servers.find(chosen.get().server());
+    traceOptions(decision, version);
+    rejectIfTooLate(chosen.get());
+    Optional<ServerState> state = dispatcher.servers.find(chosen.get().server());
     if (state.isEmpty()) {
       throw new LandingtrackException(
           ErrorKind.NO_BACKEND_SERVER,
@@ -194,48 +197,51 @@
    * than its own remaining time; the caller is to retry it later. Requests that already delivered
    * tokens are never rejected here.
    */
-  private void refuseIfHopeless(RouteOption best) {
-    long remainingMs = request.deadlineMs() - parts.ticker.millis();
-    if (delivered > 0) {
+  private void rejectIfTooLate(RouteOption best) {
+    long remainingMs = request.deadlineMs() - dispatcher.ticker.millis();
+    if (deliveredTokens > 0) {
       return;
     }
     boolean isLate = best.ttftMs() > remainingMs && best.queueMs() * 2 > remainingMs;
     if (isLate) {
-      throw overloaded(
+      throw overloadedError(
           "no backend server can start the request before its deadline", best.queueMs());
     }
-    if (best.waitersMs() > remainingMs) {
-      throw overloaded("the request would delay the waiting requests for too long", best.ttftMs());
+    if (best.waitingDelayMs() > remainingMs) {
+      throw overloadedError(
+          "the request would delay the waiting requests for too long", best.ttftMs());
     }
   }
 
-  private static LandingtrackException overloaded(String reason, double retryAfterMs) {
+  private static LandingtrackException overloadedError(String reason, double retryAfterMs) {
     int retryAfterS = (int) Math.max(1, Math.ceil(retryAfterMs / 1_000));
     return new LandingtrackException(ErrorKind.OVERLOADED, reason, retryAfterS);
   }
 
-  private void explain(RouteDecision decision, String version) {
+  private void traceOptions(RouteDecision decision, String version) {
     int shown = 0;
     for (RouteOption option : decision.options()) {
       String prefix = shown == 0 ? "Chosen under weight version " + version + ": " : "Not chosen: ";
-      trace.say(prefix + option.sentence());
+      trace.add(prefix + option.describe());
       shown++;
-      if (shown == EXPLAINED_OPTIONS) {
+      if (shown == MAX_EXPLAINED_OPTIONS) {
         break;
       }
     }
   }
 
-  private VersionChoice chooseVersion(Catalog catalog) {
-    long now = parts.ticker.millis();
-    List<ServerState> states = parts.servers.available(catalog, request.serviceName(), excluded);
-    if (delivered > 0) {
-      return VersionChoice.only(deliveredVersion, states, now);
+  private VersionSelection selectVersion(Catalog catalog) {
+    long now = dispatcher.ticker.millis();
+    List<ServerState> states =
+        dispatcher.servers.available(catalog, request.serviceName(), excludedServers);
+    if (deliveredTokens > 0) {
+      return VersionSelection.forVersion(deliveredVersion, states, now);
     }
-    String configured = VersionChoice.wanted(catalog, request);
-    VersionChoice selection = VersionChoice.choose(configured, states, weightRefusals == 0, now);
+    String configured = VersionSelection.configuredVersion(catalog, request);
+    VersionSelection selection =
+        VersionSelection.select(configured, states, weightRefusals == 0, now);
     if (!selection.version().equals(configured)) {
-      trace.say(
+      trace.add(
           "No backend server has weight version "
               + configured
               + " yet; version "
@@ -245,53 +251,54 @@
     return selection;
   }
 
-  private PrefixChain chain(String version) {
-    return chains.computeIfAbsent(
+  private PrefixChain prefixChain(String version) {
+    return chainsByVersion.computeIfAbsent(
         version, v -> PrefixChain.of(request.team(), request.serviceName(), v, request.prompt()));
   }
 
-  private void claimOnce() {
+  private void claimRequestKey() {
     if (claimed || request.keyHash().isEmpty() || !request.noRepeat()) {
       return;
     }
     // Set before the call: an unconfirmed claim may still have been stored and must be released.
     claimed = true;
-    parts.claims.claim(request.keyHash(), request.id());
-    trace.say("The request key was claimed so that the request runs at most once.");
+    dispatcher.claims.claim(request.keyHash(), request.id());
+    trace.add("The request key was claimed so that the request runs at most once.");
   }
 
   private CompletionOutcome attempt(Route route) {
-    ServerState state = route.state();
+    ServerState state = route.serverState();
     String address = state.server().spec().address();
-    currentTokens = route.option().recomputedTokens();
-    sentTokens = currentTokens;
-    state.sent(currentTokens);
-    current = state;
+    pendingPrefillTokens = route.option().recomputedTokens();
+    prefillTokens = pendingPrefillTokens;
+    state.recordSent(pendingPrefillTokens);
+    currentServer = state;
     try {
-      new KeptRestore(parts, gate.links(), trace)
-          .run(
+      new KvCacheRestorer(dispatcher, limiters.links(), trace)
+          .restore(
               route.option(),
               route.chain(),
               address,
-              queries.linkBytesPerSecond(),
+              queryFactory.linkBytesPerSecond(),
               request.deadlineMs());
-      CompletionCall call = call(route);
-      sentMs = parts.ticker.millis();
+      CompletionCall call = createCall(route);
+      sentMs = dispatcher.ticker.millis();
       deliveredVersion = route.version();
-      CompletionOutcome outcome = parts.client.complete(address, call, this);
-      if (outcome instanceof CompletionOutcome.Broken broken && delivered > 0) {
-        trace.say("The stream broke at token offset " + delivered + ": " + broken.why() + ".");
-        outcome = parts.client.resume(address, call, delivered, this);
+      CompletionOutcome outcome = dispatcher.client.complete(address, call, this);
+      if (outcome instanceof CompletionOutcome.Broken broken && deliveredTokens > 0) {
+        trace.add(
+            "The stream broke at token offset " + deliveredTokens + ": " + broken.detail() + ".");
+        outcome = dispatcher.client.resume(address, call, deliveredTokens, this);
       }
       return outcome;
     } finally {
-      state.prefillEnded(currentTokens);
-      state.ended();
-      current = null;
+      state.recordPrefillEnd(pendingPrefillTokens);
+      state.recordEnd();
+      currentServer = null;
     }
   }
 
-  private CompletionCall call(Route route) {
+  private CompletionCall createCall(Route route) {
     return new CompletionCall(
         request.id() + "-" + attempts + "." + weightRefusals,
         request.serviceName(),
@@ -300,23 +307,25 @@
         route.version(),
         route.chain().keys(),
         request.priority(),
-        delivered,
-        delivered > 0 ? parts.ticker.millis() + IDLE_MS : request.deadlineMs(),
-        IDLE_MS);
+        deliveredTokens,
+        deliveredTokens > 0
+            ? dispatcher.ticker.millis() + STREAM_IDLE_TIMEOUT_MS
+            : request.deadlineMs(),
+        STREAM_IDLE_TIMEOUT_MS);
   }
 
   /**
    * Records the outcome of an attempt. Returns the report of a complete answer, or null if a
    * further attempt is allowed.
    */
-  private @Nullable DispatchReport conclude(Route route, CompletionOutcome outcome) {
-    ServerState state = route.state();
+  private @Nullable DispatchReport handleOutcome(Route route, CompletionOutcome outcome) {
+    ServerState state = route.serverState();
     String name = route.option().server();
-    long now = parts.ticker.millis();
+    long now = dispatcher.ticker.millis();
     if (outcome instanceof CompletionOutcome.Whole whole) {
-      state.succeeded(now);
-      state.hasWeightVersion(route.version(), now);
-      trace.say(
+      state.recordSuccess(now);
+      state.recordWeightVersion(route.version(), now);
+      trace.add(
           name
               + " sent a complete answer: "
               + whole.usage().cachedTokens()
@@ -326,20 +335,20 @@
       return new DispatchReport(name, route.version(), whole.usage(), ttftMs, attempts);
     }
     if (outcome instanceof CompletionOutcome.NotRun notRun) {
-      noteNotRun(state, notRun, name, now);
+      recordNotRun(state, notRun, name, now);
       return null;
     }
     if (outcome instanceof CompletionOutcome.TooLate late) {
-      state.failed(now);
-      learnWait(state, now);
+      state.recordFailure(now);
+      recordQueueWait(state, now);
       throw new LandingtrackException(
           late.ran() ? ErrorKind.DEADLINE_IN_RUN : ErrorKind.DEADLINE_BEFORE_RUN,
           "no first token arrived from " + name + " before the deadline");
     }
     if (outcome instanceof CompletionOutcome.Failed failed) {
-      noteFault(state, name, failed.why(), ErrorKind.FAILED_IN_RUN);
+      recordFailure(state, name, failed.detail(), ErrorKind.FAILED_IN_RUN);
     } else if (outcome instanceof CompletionOutcome.Broken broken) {
-      noteFault(state, name, broken.why(), ErrorKind.OUTCOME_UNKNOWN);
+      recordFailure(state, name, broken.detail(), ErrorKind.OUTCOME_UNKNOWN);
     }
     return null;
   }
@@ -347,63 +356,66 @@
   /**
    * Records an attempt that ran or may have run, and throws if the request must not be repeated.
    */
-  private void noteFault(ServerState state, String name, String reason, ErrorKind kind) {
+  private void recordFailure(ServerState state, String name, String reason, ErrorKind kind) {
     mayHaveRun = true;
-    state.failed(parts.ticker.millis());
-    trace.say(name + " failed after " + delivered + " delivered tokens: " + reason + ".");
-    excluded.add(name);
+    state.recordFailure(dispatcher.ticker.millis());
+    trace.add(name + " failed after " + deliveredTokens + " delivered tokens: " + reason + ".");
+    excludedServers.add(name);
     if (request.noRepeat()) {
       throw new LandingtrackException(
           kind, name + " failed and the request must not be repeated: " + reason);
     }
   }
 
-  private void noteNotRun(
+  private void recordNotRun(
       ServerState state, CompletionOutcome.NotRun notRun, String name, long now) {
-    trace.say(name + " did not run the request: " + notRun.why() + ".");
+    trace.add(name + " did not run the request: " + notRun.detail() + ".");
     switch (notRun.reason()) {
       case OTHER_VERSION -> {
-        state.hasWeightVersion(notRun.currentWeightVersion(), now);
+        state.recordWeightVersion(notRun.currentWeightVersion(), now);
         return;
       }
-      case LEAVING -> state.leaving(now);
-      case FAULT -> state.failed(now);
-      case BUSY, LOADING -> state.refused(now);
+      case LEAVING -> state.recordLeaving(now);
+      case FAULT -> state.recordFailure(now);
+      case BUSY, LOADING -> state.recordRefusal(now);
     }
-    excluded.add(name);
+    excludedServers.add(name);
   }
 
   @Override
   public void token(int offset, String text) {
     if (ttftMs < 0) {
-      long now = parts.ticker.millis();
+      long now = dispatcher.ticker.millis();
       ttftMs = now - startMs;
-      if (current != null) {
-        current.prefillEnded(currentTokens);
-        learnWait(current, now);
-        current.observed((double) (now - sentMs), sentTokens);
-        currentTokens = 0;
+      if (currentServer != null) {
+        currentServer.recordPrefillEnd(pendingPrefillTokens);
+        recordQueueWait(currentServer, now);
+        currentServer.recordPrefillTime((double) (now - sentMs), prefillTokens);
+        pendingPrefillTokens = 0;
       }
     }
-    caller.token(offset, text);
-    delivered = offset + 1;
+    callerSink.token(offset, text);
+    deliveredTokens = offset + 1;
   }
 
   /**
    * Records how long the request waited at a server beyond its own prefill. Called at the first
    * token or when the deadline passed without one.
    */
-  private void learnWait(ServerState server, long now) {
+  private void recordQueueWait(ServerState server, long now) {
     double elapsedMs = now - sentMs;
-    double prefillMs = Math.min(elapsedMs, sentTokens * server.msPerToken());
-    gate.limit().observed(elapsedMs - prefillMs, prefillMs, gate.queue().running(), sentMs, now);
-    gate.queue().firstTokenAfter(elapsedMs);
+    double prefillMs = Math.min(elapsedMs, prefillTokens * server.msPerToken());
+    limiters
+        .limit()
+        .recordFirstToken(
+            elapsedMs - prefillMs, prefillMs, limiters.queue().running(), sentMs, now);
+    limiters.queue().recordFirstToken(elapsedMs);
   }
 
   @Override
   public void load(LoadReport report) {
-    if (current != null) {
-      current.reported(report);
+    if (currentServer != null) {
+      currentServer.recordLoadReport(report);
     }
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/PlainDispatcher.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/PlainDispatcher.java
@@ -29,7 +29,7 @@
 import org.landingtrack.internal.engine.BackendClient;
 import org.landingtrack.internal.engine.PlainCall;
 import org.landingtrack.internal.engine.PlainOutcome;
-import org.landingtrack.internal.explain.Trace;
+import org.landingtrack.internal.explain.ExplanationBuilder;
 import org.landingtrack.internal.routing.ServerState;
 import org.landingtrack.internal.routing.ServerTable;
 
@@ -42,21 +42,21 @@
 
   private final Supplier<Catalog> catalog;
   private final ServerTable servers;
-  private final ServiceGates gates;
+  private final ServiceLimiters serviceLimiters;
   private final BackendClient client;
-  private final ClaimGate claims;
+  private final ClaimRegistry claims;
   private final Ticker ticker;
 
   public PlainDispatcher(
       Supplier<Catalog> catalog,
       ServerTable servers,
-      ServiceGates serviceLimiters,
+      ServiceLimiters serviceLimiters,
       BackendClient client,
-      ClaimGate claims,
+      ClaimRegistry claims,
       Ticker ticker) {
     this.catalog = catalog;
     this.servers = servers;
-    this.gates = serviceLimiters;
+    this.serviceLimiters = serviceLimiters;
     this.client = client;
     this.claims = claims;
     this.ticker = ticker;
@@ -86,10 +86,12 @@
    * @throws LandingtrackException if there is no complete answer; its kind says whether the call
    *     ran
    */
-  public PlainOutcome.Whole run(PlainRequest request, Trace trace) throws InterruptedException {
-    ServiceGates.Gate limiters = gates.gate(request.serviceName(), request.service());
-    limiters.retries().request(request.service().retryPercent());
-    limiters.queue().enter(request.team(), request.weight(), request.deadlineMs());
+  public PlainOutcome.Whole run(PlainRequest request, ExplanationBuilder trace)
+      throws InterruptedException {
+    ServiceLimiters.Limiters limiters =
+        serviceLimiters.limiters(request.serviceName(), request.service());
+    limiters.retries().recordRequest(request.service().retryPercent());
+    limiters.queue().acquire(request.team(), request.weight(), request.deadlineMs());
     long enteredMs = ticker.millis();
     boolean claimed = false;
     try {
@@ -98,48 +100,48 @@
         // released.
         claimed = true;
         claims.claim(request.keyHash(), request.call().requestId());
-        trace.say("The request key was claimed so that the request runs at most once.");
+        trace.add("The request key was claimed so that the request runs at most once.");
       }
-      return attemptAll(request, limiters, trace);
+      return runAttempts(request, limiters, trace);
     } catch (LandingtrackException e) {
       if (claimed && e.kind().runState() == RunState.NOT_RUN) {
         claims.release(request.keyHash(), request.call().requestId());
       }
       throw e;
     } finally {
-      limiters.queue().leave(ticker.millis() - enteredMs);
+      limiters.queue().release(ticker.millis() - enteredMs);
     }
   }
 
-  private PlainOutcome.Whole attemptAll(
-      PlainRequest request, ServiceGates.Gate limiters, Trace trace) {
+  private PlainOutcome.Whole runAttempts(
+      PlainRequest request, ServiceLimiters.Limiters limiters, ExplanationBuilder trace) {
     Set<String> excluded = new HashSet<>();
     boolean mayHaveRun = false;
     for (int attempt = 1; ; attempt++) {
-      ServerState state = choose(request, excluded, mayHaveRun);
+      ServerState state = selectServer(request, excluded, mayHaveRun);
       String name = state.server().name();
-      PlainOutcome outcome = call(state, request);
+      PlainOutcome outcome = sendCall(state, request);
       if (outcome instanceof PlainOutcome.Whole whole) {
-        state.succeeded(ticker.millis());
-        trace.say(name + " answered with status " + whole.status() + ".");
+        state.recordSuccess(ticker.millis());
+        trace.add(name + " answered with status " + whole.status() + ".");
         return whole;
       }
       boolean isFault = true;
       String reason = "";
       if (outcome instanceof PlainOutcome.NotRun notRun) {
-        isFault = notRun.fault();
-        reason = "did not run the call: " + notRun.why();
+        isFault = notRun.isFault();
+        reason = "did not run the call: " + notRun.detail();
       } else if (outcome instanceof PlainOutcome.Unknown unknown) {
         mayHaveRun = true;
-        reason = "may have run the call: " + unknown.why();
+        reason = "may have run the call: " + unknown.detail();
       }
-      trace.say(name + " " + reason + ".");
+      trace.add(name + " " + reason + ".");
       if (isFault) {
-        state.failed(ticker.millis());
+        state.recordFailure(ticker.millis());
       }
       excluded.add(name);
       boolean mayRetry = !mayHaveRun || request.repeatable();
-      if (!mayRetry || attempt >= MAX_ATTEMPTS || !limiters.retries().tryRetry()) {
+      if (!mayRetry || attempt >= MAX_ATTEMPTS || !limiters.retries().tryAcquire()) {
         throw new LandingtrackException(
             mayHaveRun ? ErrorKind.OUTCOME_UNKNOWN : ErrorKind.NO_BACKEND_SERVER,
             name + " " + reason);
@@ -147,23 +149,24 @@
     }
   }
 
-  private PlainOutcome call(ServerState state, PlainRequest request) {
-    state.sent(0);
+  private PlainOutcome sendCall(ServerState state, PlainRequest request) {
+    state.recordSent(0);
     try {
       return client.plain(state.server().spec().address(), request.call());
     } finally {
-      state.ended();
+      state.recordEnd();
     }
   }
 
-  private ServerState choose(PlainRequest request, Set<String> excluded, boolean mayHaveRun) {
+  private ServerState selectServer(PlainRequest request, Set<String> excluded, boolean mayHaveRun) {
     List<ServerState> available = servers.available(catalog.get(), request.serviceName(), excluded);
     long now = ticker.millis();
     return available.stream()
-        .filter(state -> state.view(now).isUsable())
+        .filter(state -> state.snapshot(now).isUsable())
         .min(
             Comparator.comparingDouble(
-                state -> (double) state.view(now).inFlight() / state.view(now).maxConcurrent()))
+                state ->
+                    (double) state.snapshot(now).inFlight() / state.snapshot(now).maxConcurrent()))
         .orElseThrow(
             () ->
                 new LandingtrackException(
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/RefusingClaimGate.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/RefusingClaimRegistry.java
@@ -19,7 +19,7 @@
 import org.landingtrack.LandingtrackException;
 
 /** Refuses every claim; used where no claim store is configured. Thread-safe. */
-final class RefusingClaimGate implements ClaimGate {
+final class RefusingClaimRegistry implements ClaimRegistry {
   @Override
   public void claim(String keyHash, String requestId) {
     throw new LandingtrackException(
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/RetryBudget.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/RetryBudget.java
@@ -21,40 +21,40 @@
  */
 public final class RetryBudget {
   /** Default maximum of accumulated retries. */
-  private static final double MAX_SAVED = 20;
+  private static final double DEFAULT_CAPACITY = 20;
 
   /** Retries available at the start. */
-  private static final double FIRST_SAVED = 3;
+  private static final double INITIAL_RETRIES = 3;
 
-  private final double maxSaved;
-  private double saved;
+  private final double capacity;
+  private double availableRetries;
 
   public RetryBudget() {
-    this(MAX_SAVED);
+    this(DEFAULT_CAPACITY);
   }
 
   /** Creates a budget that accumulates at most {@code capacity} retries. */
   public RetryBudget(double capacity) {
-    this.maxSaved = capacity;
-    this.saved = Math.min(FIRST_SAVED, capacity);
+    this.capacity = capacity;
+    this.availableRetries = Math.min(INITIAL_RETRIES, capacity);
   }
 
   /** Records a request, which adds {@code percent} hundredths of a retry to the budget. */
-  public synchronized void request(double percent) {
-    saved = Math.min(maxSaved, saved + percent / 100);
+  public synchronized void recordRequest(double percent) {
+    availableRetries = Math.min(capacity, availableRetries + percent / 100);
   }
 
   /** Returns true if at least one retry is available. */
-  public synchronized boolean hasSaved() {
-    return saved >= 1;
+  public synchronized boolean hasRetry() {
+    return availableRetries >= 1;
   }
 
   /** Takes one retry from the budget; returns false if none is available. */
-  public synchronized boolean tryRetry() {
-    if (saved < 1) {
+  public synchronized boolean tryAcquire() {
+    if (availableRetries < 1) {
       return false;
     }
-    saved -= 1;
+    availableRetries -= 1;
     return true;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/RouteQueryFactory.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/RouteQueryFactory.java
@@ -27,52 +27,54 @@
 /** Creates the input of the routing decision for one request. Used by the request's thread. */
 final class RouteQueryFactory {
   /** Estimated time of a restore apart from the transfer of its bytes. */
-  private static final double RESTORE_FIXED_MS = 3;
+  private static final double RESTORE_OVERHEAD_MS = 3;
 
   /** Used if the catalog does not have the weight version or its model. */
   private static final int DEFAULT_KV_BYTES_PER_TOKEN = 1_000;
 
-  private final ModelDispatcher parts;
+  private final ModelDispatcher dispatcher;
   private final ModelRequest request;
-  private final ServiceGates.Gate gate;
+  private final ServiceLimiters.Limiters limiters;
 
-  RouteQueryFactory(ModelDispatcher dispatcher, ModelRequest request, ServiceGates.Gate limiters) {
-    this.parts = dispatcher;
+  RouteQueryFactory(
+      ModelDispatcher dispatcher, ModelRequest request, ServiceLimiters.Limiters limiters) {
+    this.dispatcher = dispatcher;
     this.request = request;
-    this.gate = limiters;
+    this.limiters = limiters;
   }
 
   /** Returns the query for the candidate servers of one weight version. */
-  RouteQuery query(Catalog catalog, PrefixChain chain, VersionChoice selection) {
+  RouteQuery createQuery(Catalog catalog, PrefixChain chain, VersionSelection selection) {
     Service service = request.service();
-    RouteQuery.Weights weights =
-        new RouteQuery.Weights(
+    RouteQuery.CostWeights weights =
+        new RouteQuery.CostWeights(
             service.weightTtft(), service.weightRecompute(), service.weightLink());
     return new RouteQuery(
         chain,
         selection.servers(),
-        parts.holders.holders(request.serviceName(), chain),
+        dispatcher.holders.holders(request.serviceName(), chain),
         weights,
-        links(catalog, selection.version()),
-        parts.gates.pressure(gate, selection.servers().size()),
-        parts.dataCentre,
-        parts.ticker.millis());
+        linkState(catalog, selection.version()),
+        dispatcher.serviceLimiters.waitingPerServer(limiters, selection.servers().size()),
+        dispatcher.dataCentre,
+        dispatcher.ticker.millis());
   }
 
-  private RouteQuery.Links links(Catalog catalog, String version) {
-    LinkBudget links = gate.links();
+  private RouteQuery.LinkState linkState(Catalog catalog, String version) {
+    LinkBudget links = limiters.links();
     double bytesPerSecond = linkBytesPerSecond();
-    return new RouteQuery.Links(
+    return new RouteQuery.LinkState(
         links.bytesPerMs(),
         links.available(bytesPerSecond),
-        links.scarcity(bytesPerSecond),
+        links.usedShare(bytesPerSecond),
         kvBytesPerToken(catalog, version),
-        RESTORE_FIXED_MS);
+        RESTORE_OVERHEAD_MS);
   }
 
   /** Returns this gateway's share of the service's link budget, in bytes per second. */
   double linkBytesPerSecond() {
-    return (double) request.service().linkBytesPerSecond() / parts.gates.gateways();
+    return (double) request.service().linkBytesPerSecond()
+        / dispatcher.serviceLimiters.gatewayCount();
   }
 
   private static int kvBytesPerToken(Catalog catalog, String version) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ServiceGates.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/ServiceLimiters.java
@@ -33,16 +33,16 @@
  * link budget. Each service has its own, so that a failing or overloaded service does not affect
  * the others. Thread-safe.
  */
-public final class ServiceGates {
+public final class ServiceLimiters {
   /** Requests admitted per slot in the engines' batches; above 1 so that batches stay full. */
-  private static final double OVERCOMMIT = 1.25;
+  private static final double OVERCOMMIT_FACTOR = 1.25;
 
   private final Supplier<Catalog> catalog;
   private final Ticker ticker;
-  private final Map<String, Gate> gates = new ConcurrentHashMap<>();
-  private volatile int gateways = 1;
+  private final Map<String, Limiters> limitersByService = new ConcurrentHashMap<>();
+  private volatile int gatewayCount = 1;
 
-  public ServiceGates(Supplier<Catalog> catalog, Ticker ticker) {
+  public ServiceLimiters(Supplier<Catalog> catalog, Ticker ticker) {
     this.catalog = catalog;
     this.ticker = ticker;
   }
@@ -56,7 +56,7 @@
    * @param links limits the bytes restored from store VMs
    * @param maxQueue maximum length of the queue
    */
-  public record Gate(
+  public record Limiters(
       FairQueue queue,
       ConcurrencyLimit limit,
       RetryBudget retries,
@@ -64,41 +64,41 @@
       int maxQueue) {}
 
   /** Sets the number of live gateways that share the services. */
-  public void sharedBy(int liveGateways) {
-    gateways = Math.max(1, liveGateways);
+  public void setGatewayCount(int liveGateways) {
+    gatewayCount = Math.max(1, liveGateways);
   }
 
   /** Returns the number of gateways that share the services, at least 1. */
-  public int gateways() {
-    return gateways;
+  public int gatewayCount() {
+    return gatewayCount;
   }
 
   /**
    * Returns the number of queued requests per backend server, where this gateway's share of a
-   * server is 1 / {@link #gateways()}. Each millisecond of work at a server delays that many
+   * server is 1 / {@link #gatewayCount()}. Each millisecond of work at a server delays that many
    * requests by a millisecond.
    */
-  public double pressure(Gate limiters, int servers) {
-    return servers == 0 ? 0 : (double) limiters.queue().waiting() * gateways / servers;
+  public double waitingPerServer(Limiters limiters, int servers) {
+    return servers == 0 ? 0 : (double) limiters.queue().waiting() * gatewayCount / servers;
   }
 
   /**
    * Returns the limiters of a service. Creates them for a new service or if its maximum queue
    * length changed.
    */
-  public Gate gate(String name, Service service) {
-    return gates.compute(
+  public Limiters limiters(String name, Service service) {
+    return limitersByService.compute(
         name,
         (key, existing) ->
             existing != null && existing.maxQueue == service.maxQueue()
                 ? existing
-                : newGate(name, service.maxQueue()));
+                : createLimiters(name, service.maxQueue()));
   }
 
-  private Gate newGate(String name, int maxQueue) {
+  private Limiters createLimiters(String name, int maxQueue) {
     ConcurrencyLimit limit = new ConcurrencyLimit();
-    return new Gate(
-        new FairQueue(ticker, () -> slots(name, limit), maxQueue),
+    return new Limiters(
+        new FairQueue(ticker, () -> concurrencyLimit(name, limit), maxQueue),
         limit,
         new RetryBudget(),
         new LinkBudget(ticker),
@@ -112,19 +112,19 @@
    * @param waiting requests in the queue
    * @param limit requests that may run at once
    */
-  public record State(String service, int running, int waiting, int limit) {}
+  public record QueueState(String service, int running, int waiting, int limit) {}
 
   /** Returns the current load of every service that had a request. */
-  public List<State> state() {
-    List<State> loads = new ArrayList<>();
-    gates.forEach(
+  public List<QueueState> queueStates() {
+    List<QueueState> loads = new ArrayList<>();
+    limitersByService.forEach(
         (name, limiters) ->
             loads.add(
-                new State(
+                new QueueState(
                     name,
                     limiters.queue.running(),
                     limiters.queue.waiting(),
-                    slots(name, limiters.limit))));
+                    concurrencyLimit(name, limiters.limit))));
     return loads;
   }
 
@@ -133,7 +133,7 @@
    * batch slots with overcommit, both divided by the number of gateways. Draining servers do not
    * count.
    */
-  private int slots(String service, ConcurrencyLimit limit) {
+  private int concurrencyLimit(String service, ConcurrencyLimit limit) {
     double batchSlots = 0;
     int servers = 0;
     for (NamedBackendServer server : catalog.get().servers(service)) {
@@ -142,8 +142,8 @@
         servers++;
       }
     }
-    int max = (int) Math.max(1, Math.ceil(batchSlots * OVERCOMMIT / gateways));
-    int min = Math.max(1, servers / gateways);
-    return limit.between(Math.min(min, max), max);
+    int max = (int) Math.max(1, Math.ceil(batchSlots * OVERCOMMIT_FACTOR / gatewayCount));
+    int min = Math.max(1, servers / gatewayCount);
+    return limit.boundedLimit(Math.min(min, max), max);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/dispatch/VersionChoice.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/dispatch/VersionSelection.java
@@ -22,9 +22,9 @@
 import org.landingtrack.internal.catalog.Catalog;
 import org.landingtrack.internal.catalog.Kind;
 import org.landingtrack.internal.catalog.Service;
+import org.landingtrack.internal.routing.ServerSnapshot;
 import org.landingtrack.internal.routing.ServerState;
-import org.landingtrack.internal.routing.ServerState.HasVersion;
-import org.landingtrack.internal.routing.ServerView;
+import org.landingtrack.internal.routing.ServerState.VersionMatch;
 
 /**
  * The weight version requested for an attempt and the candidate servers for it.
@@ -36,13 +36,13 @@
  * @param version the weight version to request
  * @param servers servers that have the version or may have it
  */
-record VersionChoice(String version, List<ServerView> servers) {
+record VersionSelection(String version, List<ServerSnapshot> servers) {
 
   /**
    * Returns the version that the catalog names for the request's service, else the version in the
    * request's copy of the service; empty if neither names one.
    */
-  static String wanted(Catalog catalog, ModelRequest request) {
+  static String configuredVersion(Catalog catalog, ModelRequest request) {
     String fromCatalog =
         catalog
             .find(Kind.SERVICE, request.serviceName(), Service.class)
@@ -53,15 +53,15 @@
   }
 
   /** Returns the servers that have a version or whose version is unknown. */
-  static VersionChoice only(String version, List<ServerState> states, long nowMs) {
-    List<ServerView> servers = new ArrayList<>();
+  static VersionSelection forVersion(String version, List<ServerState> states, long nowMs) {
+    List<ServerSnapshot> servers = new ArrayList<>();
     for (ServerState state : states) {
-      HasVersion known = state.hasVersion(version, nowMs);
-      if (known == HasVersion.YES || known == HasVersion.NEVER_HEARD) {
-        servers.add(state.view(nowMs));
+      VersionMatch known = state.matchVersion(version, nowMs);
+      if (known == VersionMatch.YES || known == VersionMatch.NEVER_HEARD) {
+        servers.add(state.snapshot(nowMs));
       }
     }
-    return new VersionChoice(version, servers);
+    return new VersionSelection(version, servers);
   }
 
   /**
@@ -70,28 +70,28 @@
    *
    * @param mayProbe true if servers that had another version a while ago are candidates as well
    */
-  static VersionChoice choose(
+  static VersionSelection select(
       String configured, List<ServerState> states, boolean mayProbe, long nowMs) {
-    VersionChoice selection = only(configured, states, nowMs);
+    VersionSelection selection = forVersion(configured, states, nowMs);
     if (mayProbe) {
       for (ServerState state : states) {
-        if (state.hasVersion(configured, nowMs) == HasVersion.STALE) {
-          selection.servers.add(state.view(nowMs));
+        if (state.matchVersion(configured, nowMs) == VersionMatch.STALE) {
+          selection.servers.add(state.snapshot(nowMs));
         }
       }
     }
     if (!selection.servers.isEmpty()) {
       return selection;
     }
-    return only(mostCommon(configured, states, nowMs), states, nowMs);
+    return forVersion(mostCommonVersion(configured, states, nowMs), states, nowMs);
   }
 
-  private static String mostCommon(String configured, List<ServerState> states, long nowMs) {
+  private static String mostCommonVersion(String configured, List<ServerState> states, long nowMs) {
     Map<String, Integer> counts = new HashMap<>();
     String mostCommon = configured;
     int maxCount = 0;
     for (ServerState state : states) {
-      String version = state.view(nowMs).weightVersion();
+      String version = state.snapshot(nowMs).weightVersion();
       int count = counts.merge(version, 1, Integer::sum);
       if (count > maxCount) {
         mostCommon = version;
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/BackendClient.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/BackendClient.java
@@ -31,19 +31,19 @@
   CompletionOutcome resume(String address, CompletionCall call, int from, TokenSink sink);
 
   /** Cancels an attempt and returns whether it had run. */
-  Cancelled cancel(String address, String attempt);
+  CancelResult cancel(String address, String attempt);
 
   /**
    * Makes an engine import stored KV cache blocks; returns the bytes that were transferred, 0 if
    * the import failed.
    */
-  long importKept(String address, KeptImport order);
+  long importKvCache(String address, KvCacheImport order);
 
   /** Calls a plain HTTP service. */
   PlainOutcome plain(String address, PlainCall call);
 
   /** Whether a cancelled attempt had run; {@code UNKNOWN} without a valid answer of the server. */
-  enum Cancelled {
+  enum CancelResult {
     NEVER_RAN,
     RAN,
     UNKNOWN
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/CallerGoneException.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/CallerDisconnectedException.java
@@ -16,10 +16,10 @@
 package org.landingtrack.internal.engine;
 
 /** Thrown when the caller has closed its connection; the attempt is then cancelled. */
-public final class CallerGoneException extends RuntimeException {
+public final class CallerDisconnectedException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  public CallerGoneException(Throwable cause) {
+  public CallerDisconnectedException(Throwable cause) {
     super("the caller closed its connection", cause);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/CompletionCall.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/CompletionCall.java
@@ -21,17 +21,17 @@
 /**
  * One attempt to run a completion on a model engine.
  *
- * @param attempt id that every chunk of the answer must carry
+ * @param attemptId id that every chunk of the answer must carry
  * @param messages the caller's messages, unchanged
  * @param weightVersion version of the weights that the engine must have loaded; it refuses
  *     otherwise
  * @param cacheKeys content hashes of the prompt's blocks, for the prefix cache
  * @param resumeOffset number of tokens that the caller already has; the stream starts after them
- * @param firstTokenBeforeMs deadline of the first token, on the monotonic clock {@code Ticker}
- * @param idleMs longest time without data within the answer, in milliseconds
+ * @param firstTokenDeadlineMs deadline of the first token, on the monotonic clock {@code Ticker}
+ * @param idleTimeoutMs longest time without data within the answer, in milliseconds
  */
 public record CompletionCall(
-    String attempt,
+    String attemptId,
     String model,
     JsonNode messages,
     int maxTokens,
@@ -39,5 +39,5 @@
     List<String> cacheKeys,
     int priority,
     int resumeOffset,
-    long firstTokenBeforeMs,
-    long idleMs) {}
+    long firstTokenDeadlineMs,
+    long idleTimeoutMs) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/CompletionOutcome.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/CompletionOutcome.java
@@ -26,7 +26,7 @@
    * @param currentWeightVersion version of the weights that the server has loaded instead; empty
    *     unless the reason is {@link Reason#OTHER_VERSION}
    */
-  record NotRun(String why, Reason reason, String currentWeightVersion)
+  record NotRun(String detail, Reason reason, String currentWeightVersion)
       implements CompletionOutcome {
     /** Why a server did not run a request. */
     public enum Reason {
@@ -53,19 +53,19 @@
      * Returns true if the server refused only because of the weights that it has loaded. Nothing
      * failed then, and an attempt at another server does not count as a retry.
      */
-    public boolean isAboutWeights() {
+    public boolean isWeightRefusal() {
       return reason == Reason.LOADING || reason == Reason.OTHER_VERSION;
     }
   }
 
   /** In doubt: the answer is incomplete, or it is not known whether the request ran. */
-  record Broken(String why) implements CompletionOutcome {}
+  record Broken(String detail) implements CompletionOutcome {}
 
   /**
    * The run failed: the engine reported an error in the stream, or answered with an error status
    * and did not say that nothing ran.
    */
-  record Failed(String why) implements CompletionOutcome {}
+  record Failed(String detail) implements CompletionOutcome {}
 
   /**
    * The deadline of the first token passed and the attempt was cancelled.
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/HttpBackendClient.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/HttpBackendClient.java
@@ -32,7 +32,7 @@
 import okhttp3.RequestBody;
 import okhttp3.Response;
 import org.jspecify.annotations.Nullable;
-import org.landingtrack.internal.base.Duty;
+import org.landingtrack.internal.base.BoundedWorker;
 import org.landingtrack.internal.base.Json;
 import org.landingtrack.internal.base.Ticker;
 import org.landingtrack.internal.engine.CompletionOutcome.Broken;
@@ -45,11 +45,11 @@
  */
 public final class HttpBackendClient implements BackendClient {
   private static final MediaType JSON_TYPE = MediaType.get("application/json");
-  private static final long CONNECT_MS = 1_000;
-  private static final long CONTROL_MS = 2_000;
+  private static final long CONNECT_TIMEOUT_MS = 1_000;
+  private static final long CONTROL_TIMEOUT_MS = 2_000;
   private static final int MAX_IDLE_CONNECTIONS = 256;
   private static final int CONFLICT = 409;
-  private static final int TOO_MANY = 429;
+  private static final int TOO_MANY_REQUESTS = 429;
   private static final int UNAVAILABLE = 503;
 
   /** Response header: the server refused the request and ran nothing. */
@@ -63,20 +63,22 @@
 
   private final OkHttpClient client;
   private final Ticker ticker;
-  private final ScheduledExecutorService deadlines;
+  private final ScheduledExecutorService deadlineTimer;
 
   public HttpBackendClient(Ticker ticker) {
     this.ticker = ticker;
-    Dispatcher dispatcher = new Dispatcher(Executors.newCachedThreadPool(Duty.daemon("http")));
+    Dispatcher dispatcher =
+        new Dispatcher(Executors.newCachedThreadPool(BoundedWorker.daemonThreadFactory("http")));
     this.client =
         new OkHttpClient.Builder()
             .dispatcher(dispatcher)
             .connectionPool(new ConnectionPool(MAX_IDLE_CONNECTIONS, 30, TimeUnit.SECONDS))
-            .connectTimeout(CONNECT_MS, TimeUnit.MILLISECONDS)
+            .connectTimeout(CONNECT_TIMEOUT_MS, TimeUnit.MILLISECONDS)
             .retryOnConnectionFailure(false)
             .followRedirects(false)
             .build();
-    this.deadlines = Executors.newSingleThreadScheduledExecutor(Duty.daemon("deadlines"));
+    this.deadlineTimer =
+        Executors.newSingleThreadScheduledExecutor(BoundedWorker.daemonThreadFactory("deadlines"));
   }
 
   @Override
@@ -87,7 +89,7 @@
     body.put("max_tokens", call.maxTokens());
     body.put("stream", true);
     ObjectNode extension = body.putObject("landingtrack");
-    extension.put("attempt", call.attempt());
+    extension.put("attempt", call.attemptId());
     extension.put("weight_version", call.weightVersion());
     extension.put("priority", call.priority());
     extension.put("resume_offset", call.resumeOffset());
@@ -97,53 +99,54 @@
             .url("http://" + address + "/v1/chat/completions")
             .post(RequestBody.create(body.toString(), JSON_TYPE))
             .build();
-    return stream(address, request, call, call.resumeOffset(), sink);
+    return runStream(address, request, call, call.resumeOffset(), sink);
   }
 
   @Override
   public CompletionOutcome resume(String address, CompletionCall call, int from, TokenSink sink) {
     Request request =
         new Request.Builder()
-            .url("http://" + address + "/v1/streams/" + call.attempt() + "?from=" + from)
+            .url("http://" + address + "/v1/streams/" + call.attemptId() + "?from=" + from)
             .build();
-    CompletionOutcome outcome = stream(address, request, call, from, sink);
+    CompletionOutcome outcome = runStream(address, request, call, from, sink);
     // The attempt did run, so a refused resume must not be reported as not run: a retry is unsafe.
-    return outcome instanceof NotRun notRun ? new Broken(notRun.why()) : outcome;
+    return outcome instanceof NotRun notRun ? new Broken(notRun.detail()) : outcome;
   }
 
-  private CompletionOutcome stream(
+  private CompletionOutcome runStream(
       String address, Request request, CompletionCall call, int from, TokenSink sink) {
-    SendStage stage = new SendStage();
+    SendTracker stage = new SendTracker();
     OkHttpClient callClient =
         client
             .newBuilder()
             .eventListener(stage)
-            .readTimeout(call.idleMs(), TimeUnit.MILLISECONDS)
-            .writeTimeout(call.idleMs(), TimeUnit.MILLISECONDS)
+            .readTimeout(call.idleTimeoutMs(), TimeUnit.MILLISECONDS)
+            .writeTimeout(call.idleTimeoutMs(), TimeUnit.MILLISECONDS)
             .build();
     Call httpCall = callClient.newCall(request);
     AtomicBoolean deadlinePassed = new AtomicBoolean();
-    Future<?> deadlineTask = armDeadline(httpCall, call, deadlinePassed);
-    StreamReader reader = new StreamReader(call.attempt(), from, sink, ticker);
+    Future<?> deadlineTask = scheduleDeadline(httpCall, call, deadlinePassed);
+    StreamReader reader = new StreamReader(call.attemptId(), from, sink, ticker);
     try (Response response = httpCall.execute()) {
       if (!response.isSuccessful()) {
-        return refusal(response);
+        return errorStatusOutcome(response);
       }
       return reader.read(response.body().source(), () -> deadlineTask.cancel(false));
-    } catch (CallerGoneException e) {
+    } catch (CallerDisconnectedException e) {
       httpCall.cancel();
-      var unused = cancel(address, call.attempt());
+      var unused = cancel(address, call.attemptId());
       throw e;
     } catch (IOException e) {
-      return broken(address, call, stage, deadlinePassed.get(), e);
+      return ioFailureOutcome(address, call, stage, deadlinePassed.get(), e);
     } finally {
       deadlineTask.cancel(false);
     }
   }
 
-  private Future<?> armDeadline(Call httpCall, CompletionCall call, AtomicBoolean deadlinePassed) {
-    long remainingMs = Math.max(1, call.firstTokenBeforeMs() - ticker.millis());
-    return deadlines.schedule(
+  private Future<?> scheduleDeadline(
+      Call httpCall, CompletionCall call, AtomicBoolean deadlinePassed) {
+    long remainingMs = Math.max(1, call.firstTokenDeadlineMs() - ticker.millis());
+    return deadlineTimer.schedule(
         () -> {
           deadlinePassed.set(true);
           httpCall.cancel();
@@ -152,18 +155,22 @@
         TimeUnit.MILLISECONDS);
   }
 
-  private CompletionOutcome broken(
-      String address, CompletionCall call, SendStage stage, boolean deadlinePassed, IOException e) {
-    if (!stage.mayHaveReached()) {
+  private CompletionOutcome ioFailureOutcome(
+      String address,
+      CompletionCall call,
+      SendTracker stage,
+      boolean deadlinePassed,
+      IOException e) {
+    if (!stage.mayHaveReachedServer()) {
       return deadlinePassed ? new TooLate(false) : NotRun.of("connection failed: " + e, true);
     }
     if (deadlinePassed) {
-      return new TooLate(cancel(address, call.attempt()) != Cancelled.NEVER_RAN);
+      return new TooLate(cancel(address, call.attemptId()) != CancelResult.NEVER_RAN);
     }
     return new Broken(e.toString());
   }
 
-  private static CompletionOutcome refusal(Response response) throws IOException {
+  private static CompletionOutcome errorStatusOutcome(Response response) throws IOException {
     int status = response.code();
     String text = response.body().string();
     if (status == CONFLICT) {
@@ -180,7 +187,7 @@
     if (isNotRun && response.header(LOADING_HEADER) != null) {
       return new NotRun("is loading weights", NotRun.Reason.LOADING, "");
     }
-    if (status == TOO_MANY || (status == UNAVAILABLE && isNotRun)) {
+    if (status == TOO_MANY_REQUESTS || (status == UNAVAILABLE && isNotRun)) {
       return NotRun.of("refused with status " + status, false);
     }
     if (isNotRun) {
@@ -190,31 +197,31 @@
   }
 
   @Override
-  public Cancelled cancel(String address, String attempt) {
+  public CancelResult cancel(String address, String attempt) {
     Request request =
         new Request.Builder().url("http://" + address + "/v1/streams/" + attempt).delete().build();
-    try (Response response = control().newCall(request).execute()) {
+    try (Response response = controlClient().newCall(request).execute()) {
       if (!response.isSuccessful()) {
-        return Cancelled.UNKNOWN;
+        return CancelResult.UNKNOWN;
       }
       JsonNode body = Json.LENIENT.readTree(response.body().string());
-      return body.path("ran").asBoolean(true) ? Cancelled.RAN : Cancelled.NEVER_RAN;
+      return body.path("ran").asBoolean(true) ? CancelResult.RAN : CancelResult.NEVER_RAN;
     } catch (IOException e) {
-      return Cancelled.UNKNOWN;
+      return CancelResult.UNKNOWN;
     }
   }
 
-  private OkHttpClient control() {
-    return client.newBuilder().callTimeout(CONTROL_MS, TimeUnit.MILLISECONDS).build();
+  private OkHttpClient controlClient() {
+    return client.newBuilder().callTimeout(CONTROL_TIMEOUT_MS, TimeUnit.MILLISECONDS).build();
   }
 
   @Override
-  public long importKept(String address, KeptImport kvImport) {
+  public long importKvCache(String address, KvCacheImport kvImport) {
     ObjectNode body = Json.LENIENT.createObjectNode();
-    body.put("store", kvImport.store());
+    body.put("store", kvImport.storeAddress());
     body.put("manifest", kvImport.manifest());
     body.put("pin_ms", kvImport.pinMs());
-    kvImport.keys().forEach(body.putArray("keys")::add);
+    kvImport.blockKeys().forEach(body.putArray("keys")::add);
     Request request =
         new Request.Builder()
             .url("http://" + address + "/v1/kv/import")
@@ -239,7 +246,7 @@
 
   @Override
   public PlainOutcome plain(String address, PlainCall call) {
-    SendStage stage = new SendStage();
+    SendTracker stage = new SendTracker();
     OkHttpClient callClient =
         client
             .newBuilder()
@@ -251,7 +258,7 @@
         new Request.Builder()
             .url("http://" + address + call.target())
             .header("Landingtrack-Request-Id", call.requestId())
-            .method(call.method(), bodyOf(call))
+            .method(call.method(), requestBody(call))
             .build();
     try (Response response = callClient.newCall(request).execute()) {
       if (response.header(NOT_RUN_HEADER) != null) {
@@ -264,13 +271,13 @@
       String type = response.header("Content-Type", "application/octet-stream");
       return new PlainOutcome.Whole(response.code(), type == null ? "" : type, content);
     } catch (IOException e) {
-      return stage.mayHaveReached()
+      return stage.mayHaveReachedServer()
           ? new PlainOutcome.Unknown(e.toString())
           : new PlainOutcome.NotRun("connection failed: " + e, true);
     }
   }
 
-  private static @Nullable RequestBody bodyOf(PlainCall call) {
+  private static @Nullable RequestBody requestBody(PlainCall call) {
     boolean hasBody = !call.method().equals("GET") && !call.method().equals("HEAD");
     if (!hasBody) {
       return null;
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/KeptImport.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/KvCacheImport.java
@@ -20,12 +20,13 @@
 /**
  * Stored KV cache blocks that an engine is to import from a store VM.
  *
- * @param store address of the store VM
+ * @param storeAddress address of the store VM
  * @param manifest name of the list of blocks at the store VM
- * @param keys keys of the blocks to import, in the order of the prompt and from its first block
+ * @param blockKeys keys of the blocks to import, in the order of the prompt and from its first
+ *     block
  * @param pinMs how long the engine must not evict the blocks, so that they are there for their
  *     request however full the cache is
  * @param timeoutMs limit on the time of the import
  */
-public record KeptImport(
-    String store, String manifest, List<String> keys, long pinMs, long timeoutMs) {}
+public record KvCacheImport(
+    String storeAddress, String manifest, List<String> blockKeys, long pinMs, long timeoutMs) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/PlainOutcome.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/PlainOutcome.java
@@ -23,10 +23,10 @@
   /**
    * It is certain that the server ran nothing, so a retry is safe.
    *
-   * @param fault true if the server looks broken because it could not be reached
+   * @param isFault true if the server looks broken because it could not be reached
    */
-  record NotRun(String why, boolean fault) implements PlainOutcome {}
+  record NotRun(String detail, boolean isFault) implements PlainOutcome {}
 
   /** In doubt: it is not known whether the call ran, or its answer cannot be passed on. */
-  record Unknown(String why) implements PlainOutcome {}
+  record Unknown(String detail) implements PlainOutcome {}
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/SendStage.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/SendTracker.java
@@ -22,16 +22,16 @@
  * Records whether any byte of a request may have been sent, from the events of the HTTP client. A
  * request of which no byte was sent is certain not to have run. Thread-safe.
  */
-final class SendStage extends EventListener {
-  private volatile boolean started;
+final class SendTracker extends EventListener {
+  private volatile boolean sendStarted;
 
   @Override
   public void requestHeadersStart(Call call) {
-    started = true;
+    sendStarted = true;
   }
 
   /** Returns true if a byte of the request may have reached the server. */
-  boolean mayHaveReached() {
-    return started;
+  boolean mayHaveReachedServer() {
+    return sendStarted;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/engine/StreamReader.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/engine/StreamReader.java
@@ -32,19 +32,19 @@
  * are dropped. The answer is complete only with its end mark. Used by one thread.
  */
 final class StreamReader {
-  private static final String DATA = "data:";
-  private static final String END = "[DONE]";
+  private static final String DATA_PREFIX = "data:";
+  private static final String END_MARK = "[DONE]";
   private static final long MAX_LINE_BYTES = 1 << 20;
 
-  private final String attempt;
+  private final String attemptId;
   private final TokenSink sink;
   private final Ticker ticker;
-  private int next;
+  private int nextOffset;
   private @Nullable Usage usage;
 
   StreamReader(String attemptId, int from, TokenSink sink, Ticker ticker) {
-    this.attempt = attemptId;
-    this.next = from;
+    this.attemptId = attemptId;
+    this.nextOffset = from;
     this.sink = sink;
     this.ticker = ticker;
   }
@@ -54,18 +54,18 @@
     boolean awaitsFirst = true;
     while (!source.exhausted()) {
       String line = source.readUtf8LineStrict(MAX_LINE_BYTES);
-      if (!line.startsWith(DATA)) {
+      if (!line.startsWith(DATA_PREFIX)) {
         continue;
       }
-      String data = line.substring(DATA.length()).trim();
-      if (data.equals(END)) {
+      String data = line.substring(DATA_PREFIX.length()).trim();
+      if (data.equals(END_MARK)) {
         return usage == null ? new Broken("end mark without usage") : new Whole(usage);
       }
-      CompletionOutcome failure = take(Json.LENIENT.readTree(data));
+      CompletionOutcome failure = handleChunk(Json.LENIENT.readTree(data));
       if (failure != null) {
         return failure;
       }
-      if (awaitsFirst && next > 0) {
+      if (awaitsFirst && nextOffset > 0) {
         awaitsFirst = false;
         onFirstToken.run();
       }
@@ -73,8 +73,8 @@
     return new Broken("the stream ended without its end mark");
   }
 
-  private @Nullable CompletionOutcome take(JsonNode chunk) {
-    if (!chunk.path("attempt").asText().equals(attempt)) {
+  private @Nullable CompletionOutcome handleChunk(JsonNode chunk) {
+    if (!chunk.path("attempt").asText().equals(attemptId)) {
       return new Broken("a chunk of another attempt arrived");
     }
     if (chunk.has("error")) {
@@ -99,12 +99,12 @@
       return null;
     }
     int offset = chunk.path("offset").asInt(-1);
-    if (offset > next || offset < 0) {
-      return new Broken("token " + next + " is missing");
+    if (offset > nextOffset || offset < 0) {
+      return new Broken("token " + nextOffset + " is missing");
     }
-    if (offset == next) {
+    if (offset == nextOffset) {
       sink.token(offset, text);
-      next++;
+      nextOffset++;
     }
     return null;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/explain/Trace.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/explain/ExplanationBuilder.java
@@ -22,13 +22,13 @@
  * Collects the sentences that explain one request, in order, {@link #MAX_SENTENCES} at most. Not
  * thread-safe.
  */
-public final class Trace {
+public final class ExplanationBuilder {
   private static final int MAX_SENTENCES = 64;
 
   private final List<String> sentences = new ArrayList<>();
 
   /** Adds a sentence; does nothing if the maximum is reached. */
-  public void say(String sentence) {
+  public void add(String sentence) {
     if (sentences.size() < MAX_SENTENCES) {
       sentences.add(sentence);
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/explain/Explainer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/explain/ExplanationStore.java
@@ -27,38 +27,38 @@
  * wait in a bounded queue until they are sent to another process; if the queue is full, an
  * explanation is stored here but not sent. Thread-safe.
  */
-public final class Explainer {
-  private static final int PENDING = 4_096;
+public final class ExplanationStore {
+  private static final int MAX_PENDING = 4_096;
 
-  private final Cache<String, List<String>> known;
-  private final ArrayBlockingQueue<Explanation> pending = new ArrayBlockingQueue<>(PENDING);
+  private final Cache<String, List<String>> explanations;
+  private final ArrayBlockingQueue<Explanation> unsent = new ArrayBlockingQueue<>(MAX_PENDING);
 
   /** Creates a store of {@code maxSize} explanations at most. */
-  public Explainer(int maxSize) {
-    this.known = Caffeine.newBuilder().maximumSize(maxSize).build();
+  public ExplanationStore(int maxSize) {
+    this.explanations = Caffeine.newBuilder().maximumSize(maxSize).build();
   }
 
   /** Stores an explanation of this process and queues it for sending. */
-  public void note(String requestId, List<String> sentences) {
-    known.put(requestId, sentences);
-    var unused = pending.offer(new Explanation(requestId, sentences));
+  public void add(String requestId, List<String> sentences) {
+    explanations.put(requestId, sentences);
+    var unused = unsent.offer(new Explanation(requestId, sentences));
   }
 
   /** Stores an explanation that another process sent. */
-  public void keep(Explanation explanation) {
-    known.put(explanation.requestId(), List.copyOf(explanation.sentences()));
+  public void addReceived(Explanation explanation) {
+    explanations.put(explanation.requestId(), List.copyOf(explanation.sentences()));
   }
 
   /** Removes explanations from the queue and returns them, oldest first, {@code max} at most. */
-  public List<Explanation> drain(int max) {
+  public List<Explanation> drainUnsent(int max) {
     List<Explanation> batch = new ArrayList<>();
-    pending.drainTo(batch, max);
+    unsent.drainTo(batch, max);
     return batch;
   }
 
   /** Returns the sentences of a request's explanation; empty if it is not stored or was evicted. */
-  public List<String> explain(String requestId) {
-    List<String> sentences = known.getIfPresent(requestId);
+  public List<String> find(String requestId) {
+    List<String> sentences = explanations.getIfPresent(requestId);
     return sentences == null ? List.of() : sentences;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/gateway/ControllerLink.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/gateway/ControllerLink.java
@@ -20,11 +20,11 @@
 import java.util.Optional;
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
-import org.landingtrack.internal.base.Duty;
+import org.landingtrack.internal.base.BoundedWorker;
 import org.landingtrack.internal.base.Hashes;
 import org.landingtrack.internal.config.ConfigDelta;
 import org.landingtrack.internal.config.ConfigReplica;
-import org.landingtrack.internal.explain.Explainer;
+import org.landingtrack.internal.explain.ExplanationStore;
 import org.landingtrack.internal.peer.Messages.ConfigAnswer;
 import org.landingtrack.internal.peer.Messages.ConfigPull;
 import org.landingtrack.internal.peer.Messages.Explained;
@@ -48,23 +48,23 @@
 public final class ControllerLink implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("link");
   private static final int PULL_WAIT_MS = 5_000;
-  private static final int PULL_SLACK_MS = 2_000;
-  private static final int CALL_MS = 1_000;
-  private static final long PAUSE_MS = 200;
-  private static final long MEMBERS_EVERY_MS = 1_000;
-  private static final int EXPLAIN_BATCH = 256;
+  private static final int PULL_TIMEOUT_MARGIN_MS = 2_000;
+  private static final int CALL_TIMEOUT_MS = 1_000;
+  private static final long RETRY_DELAY_MS = 200;
+  private static final long MEMBERS_INTERVAL_MS = 1_000;
+  private static final int MAX_EXPLANATION_BATCH = 256;
 
   private final String vm;
   private final String dataCentre;
-  private final List<String> configured;
+  private final List<String> configuredAddresses;
   private final PeerClient peers;
   private final ConfigReplica replica;
-  private final Explainer explainer;
-  private final Thread follower;
-  private final Duty members;
+  private final ExplanationStore explanationStore;
+  private final Thread pullThread;
+  private final BoundedWorker memberRefresher;
   private volatile List<MemberInfo> controllers = List.of();
-  private volatile Set<String> leaving = Set.of();
-  private volatile String current = "";
+  private volatile Set<String> leavingServers = Set.of();
+  private volatile String currentAddress = "";
   private volatile boolean closed;
 
   /**
@@ -78,29 +78,30 @@
       List<String> configuredAddresses,
       PeerClient peers,
       ConfigReplica replica,
-      Explainer explanationStore) {
+      ExplanationStore explanationStore) {
     this.vm = vm;
     this.dataCentre = dataCentre;
-    this.configured = configuredAddresses;
+    this.configuredAddresses = configuredAddresses;
     this.peers = peers;
     this.replica = replica;
-    this.explainer = explanationStore;
-    this.follower = Duty.daemon("config-follow").newThread(this::follow);
-    this.members = Duty.start("controllers", 16);
+    this.explanationStore = explanationStore;
+    this.pullThread =
+        BoundedWorker.daemonThreadFactory("config-follow").newThread(this::pullUntilClosed);
+    this.memberRefresher = BoundedWorker.start("controllers", 16);
   }
 
   /** Starts to replicate the configuration and to refresh the list of controllers. */
   public void start() {
-    follower.start();
-    var unused = members.offer(this::refresh);
-    members.every(MEMBERS_EVERY_MS, this::refresh);
+    pullThread.start();
+    var unused = memberRefresher.offer(this::refreshMembers);
+    memberRefresher.runPeriodically(MEMBERS_INTERVAL_MS, this::refreshMembers);
   }
 
-  private void follow() {
+  private void pullUntilClosed() {
     while (!closed) {
-      if (!followOnce()) {
+      if (!pullOnce()) {
         try {
-          Thread.sleep(PAUSE_MS);
+          Thread.sleep(RETRY_DELAY_MS);
         } catch (InterruptedException e) {
           return;
         }
@@ -112,7 +113,7 @@
    * Pulls once, from the first controller that answers with a complete configuration; returns false
    * if there is none.
    */
-  private boolean followOnce() {
+  private boolean pullOnce() {
     for (String address : addresses()) {
       try {
         long after = replica.isComplete() ? replica.revision() : -1;
@@ -121,11 +122,11 @@
                 address,
                 new ConfigPull(vm, true, after, PULL_WAIT_MS),
                 ConfigAnswer.class,
-                PULL_WAIT_MS + PULL_SLACK_MS);
+                PULL_WAIT_MS + PULL_TIMEOUT_MARGIN_MS);
         if (!answer.complete()) {
           continue;
         }
-        current = address;
+        currentAddress = address;
         merge(after, answer.delta());
         return true;
       } catch (PeerException e) {
@@ -146,7 +147,7 @@
    * data centre.
    */
   private List<String> addresses() {
-    List<String> addresses = new ArrayList<>(configured);
+    List<String> addresses = new ArrayList<>(configuredAddresses);
     for (MemberInfo controller : controllers) {
       if (controller.dataCentre().equals(dataCentre) && !addresses.contains(controller.address())) {
         addresses.add(controller.address());
@@ -155,14 +156,14 @@
     return addresses;
   }
 
-  private void refresh() {
+  private void refreshMembers() {
     for (String address : addresses()) {
       try {
         MembersAnswer answer =
-            peers.call(address, new MembersQuery(), MembersAnswer.class, CALL_MS);
+            peers.call(address, new MembersQuery(), MembersAnswer.class, CALL_TIMEOUT_MS);
         controllers = List.copyOf(answer.members());
-        leaving = Set.copyOf(answer.leaving());
-        handOn(address);
+        leavingServers = Set.copyOf(answer.leaving());
+        sendExplanations(address);
         return;
       } catch (PeerException e) {
         log.debug("Controller {} did not return its members: {}.", address, e.getMessage());
@@ -170,12 +171,12 @@
     }
   }
 
-  private void handOn(String address) {
-    List<Explanation> batch = explainer.drain(EXPLAIN_BATCH);
+  private void sendExplanations(String address) {
+    List<Explanation> batch = explanationStore.drainUnsent(MAX_EXPLANATION_BATCH);
     if (batch.isEmpty()) {
       return;
     }
-    var unused = peers.call(address, new Explained(batch), Taken.class, CALL_MS);
+    var unused = peers.call(address, new Explained(batch), Taken.class, CALL_TIMEOUT_MS);
   }
 
   /** Returns the live controllers of this gateway's data centre. */
@@ -198,8 +199,8 @@
   }
 
   /** Returns the names of the backend servers that are leaving by the VM list. */
-  public Set<String> leaving() {
-    return leaving;
+  public Set<String> leavingServers() {
+    return leavingServers;
   }
 
   /** Returns the live controllers of all data centres. */
@@ -216,15 +217,15 @@
   }
 
   /** Returns the address of the controller that last returned configuration, if any. */
-  public Optional<String> current() {
-    @Nullable String address = current;
+  public Optional<String> currentAddress() {
+    @Nullable String address = currentAddress;
     return address.isEmpty() ? Optional.empty() : Optional.of(address);
   }
 
   @Override
   public void close() {
     closed = true;
-    follower.interrupt();
-    members.close();
+    pullThread.interrupt();
+    memberRefresher.close();
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/gateway/GatewayComponent.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/gateway/GatewayComponent.java
@@ -20,9 +20,9 @@
 import org.landingtrack.internal.admission.TeamLimiter;
 import org.landingtrack.internal.base.Metrics;
 import org.landingtrack.internal.caller.CallerApi;
-import org.landingtrack.internal.caller.InFlight;
+import org.landingtrack.internal.caller.InFlightRequests;
 import org.landingtrack.internal.config.ConfigReplica;
-import org.landingtrack.internal.dispatch.ServiceGates;
+import org.landingtrack.internal.dispatch.ServiceLimiters;
 import org.landingtrack.internal.peer.PeerClient;
 import org.landingtrack.internal.routing.ServerTable;
 import org.landingtrack.internal.tls.TlsRenewal;
@@ -38,17 +38,17 @@
 
   ConfigReplica replica();
 
-  ControllerLink link();
+  ControllerLink controllerLink();
 
-  PeerClient peers();
+  PeerClient peerClient();
 
-  TeamLimiter limiter();
+  TeamLimiter teamLimiter();
 
-  ServiceGates gates();
+  ServiceLimiters serviceLimiters();
 
-  ServerTable servers();
+  ServerTable serverTable();
 
-  InFlight inFlight();
+  InFlightRequests inFlight();
 
   CallerApi callerApi();
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/gateway/GatewayModule.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/gateway/GatewayModule.java
@@ -25,17 +25,17 @@
 import org.landingtrack.internal.base.Metrics;
 import org.landingtrack.internal.base.Ticker;
 import org.landingtrack.internal.caller.CallerApi;
-import org.landingtrack.internal.caller.InFlight;
-import org.landingtrack.internal.caller.RequestIds;
+import org.landingtrack.internal.caller.InFlightRequests;
+import org.landingtrack.internal.caller.RequestIdGenerator;
 import org.landingtrack.internal.catalog.Catalog;
 import org.landingtrack.internal.config.ConfigReplica;
-import org.landingtrack.internal.dispatch.ClaimGate;
+import org.landingtrack.internal.dispatch.ClaimRegistry;
 import org.landingtrack.internal.dispatch.ModelDispatcher;
 import org.landingtrack.internal.dispatch.PlainDispatcher;
-import org.landingtrack.internal.dispatch.ServiceGates;
+import org.landingtrack.internal.dispatch.ServiceLimiters;
 import org.landingtrack.internal.engine.BackendClient;
 import org.landingtrack.internal.engine.HttpBackendClient;
-import org.landingtrack.internal.explain.Explainer;
+import org.landingtrack.internal.explain.ExplanationStore;
 import org.landingtrack.internal.peer.PeerClient;
 import org.landingtrack.internal.routing.BaselinePolicies;
 import org.landingtrack.internal.routing.CostPolicy;
@@ -56,13 +56,14 @@
 
   @Provides
   @Singleton
-  Explainer explainer() {
-    return new Explainer(MAX_EXPLANATIONS);
+  ExplanationStore explanationStore() {
+    return new ExplanationStore(MAX_EXPLANATIONS);
   }
 
   @Provides
   @Singleton
-  ControllerLink link(PeerClient peers, ConfigReplica replica, Explainer explanationStore) {
+  ControllerLink controllerLink(
+      PeerClient peers, ConfigReplica replica, ExplanationStore explanationStore) {
     return new ControllerLink(
         settings.vm(),
         settings.dataCentre(),
@@ -74,42 +75,42 @@
 
   @Provides
   @Singleton
-  ServerTable servers() {
+  ServerTable serverTable() {
     return new ServerTable();
   }
 
   @Provides
   @Singleton
-  ServiceGates gates(Supplier<Catalog> catalog, Ticker ticker) {
-    return new ServiceGates(catalog, ticker);
+  ServiceLimiters serviceLimiters(Supplier<Catalog> catalog, Ticker ticker) {
+    return new ServiceLimiters(catalog, ticker);
   }
 
   @Provides
   @Singleton
-  TeamLimiter limiter(Ticker ticker) {
+  TeamLimiter teamLimiter(Ticker ticker) {
     return new TeamLimiter(ticker);
   }
 
   @Provides
   @Singleton
-  BackendClient client(Ticker ticker) {
+  BackendClient backendClient(Ticker ticker) {
     return new HttpBackendClient(ticker);
   }
 
   @Provides
   @Singleton
-  ClaimGate claims(ControllerLink link, PeerClient peers) {
-    return new RemoteClaims(link, peers);
+  ClaimRegistry claimRegistry(ControllerLink link, PeerClient peers) {
+    return new RemoteClaimRegistry(link, peers);
   }
 
   @Provides
   @Singleton
-  RoutingPolicy policy() {
-    return switch (settings.policy()) {
+  RoutingPolicy routingPolicy() {
+    return switch (settings.routingPolicy()) {
       case "round-robin" -> BaselinePolicies.roundRobin();
       case "least-loaded" -> BaselinePolicies.leastLoaded();
       case "prefix-hash" -> BaselinePolicies.prefixHash();
-      default -> costPolicy(settings.seed());
+      default -> costPolicy(settings.routingSeed());
     };
   }
 
@@ -131,18 +132,18 @@
 
   @Provides
   @Singleton
-  ModelDispatcher models(
+  ModelDispatcher modelDispatcher(
       Supplier<Catalog> catalog,
       ServerTable serverTable,
-      ServiceGates limiters,
+      ServiceLimiters limiters,
       BackendClient backendClient,
       RoutingPolicy routingPolicy,
       ControllerLink link,
       PeerClient peers,
-      ClaimGate claimRegistry,
+      ClaimRegistry claimRegistry,
       Ticker ticker) {
     return new ModelDispatcher.Builder(catalog, serverTable, limiters, backendClient, routingPolicy)
-        .setHolders(new RemoteHolders(link, peers, ticker))
+        .setHolders(new RemoteHolderLookup(link, peers, ticker))
         .setClaims(claimRegistry)
         .setTicker(ticker)
         .setDataCentre(settings.dataCentre())
@@ -151,12 +152,12 @@
 
   @Provides
   @Singleton
-  PlainDispatcher plains(
+  PlainDispatcher plainDispatcher(
       Supplier<Catalog> catalog,
       ServerTable serverTable,
-      ServiceGates limiters,
+      ServiceLimiters limiters,
       BackendClient backendClient,
-      ClaimGate claimRegistry,
+      ClaimRegistry claimRegistry,
       Ticker ticker) {
     return new PlainDispatcher(
         catalog, serverTable, limiters, backendClient, claimRegistry, ticker);
@@ -164,8 +165,8 @@
 
   @Provides
   @Singleton
-  InFlight inFlight() {
-    return new InFlight(settings.maxRequests());
+  InFlightRequests inFlight() {
+    return new InFlightRequests(settings.maxConcurrentRequests());
   }
 
   @Provides
@@ -176,8 +177,8 @@
       TeamLimiter teamLimiter,
       ModelDispatcher modelDispatcher,
       PlainDispatcher plainDispatcher,
-      Explainer explanationStore,
-      InFlight inFlight,
+      ExplanationStore explanationStore,
+      InFlightRequests inFlight,
       Ticker ticker,
       Metrics metrics) {
     return new CallerApi(
@@ -187,7 +188,7 @@
         modelDispatcher,
         plainDispatcher,
         explanationStore,
-        new RequestIds(settings.vm()),
+        new RequestIdGenerator(settings.vm()),
         new CallerApi.CallerLimits(
             settings.maxBodyBytes(), settings.bodyTimeoutMs(), settings.defaultDeadlineMs()),
         inFlight,
--- a/landingtrack/src/main/java/org/landingtrack/internal/gateway/GatewayProcess.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/gateway/GatewayProcess.java
@@ -19,9 +19,9 @@
 import io.prometheus.metrics.core.metrics.Gauge;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
-import org.landingtrack.internal.base.Duty;
+import org.landingtrack.internal.base.BoundedWorker;
 import org.landingtrack.internal.base.HttpServers;
-import org.landingtrack.internal.dispatch.ServiceGates;
+import org.landingtrack.internal.dispatch.ServiceLimiters;
 import org.landingtrack.internal.peer.Messages.MemberInfo;
 import org.landingtrack.internal.settings.GatewaySettings;
 import org.landingtrack.internal.wiring.ProcessModule;
@@ -34,22 +34,22 @@
  */
 public final class GatewayProcess implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("gateway");
-  private static final long SHARES_EVERY_MS = 500;
+  private static final long UPDATE_INTERVAL_MS = 500;
 
   private final GatewaySettings settings;
-  private final GatewayComponent parts;
-  private final Duty shares = Duty.start("shares", 4);
-  private final Javalin http;
-  private final TeamShares teamShares;
-  private final Gauge running;
-  private final Gauge waiting;
-  private final Gauge limits;
-  private final Gauge granted;
+  private final GatewayComponent component;
+  private final BoundedWorker updater = BoundedWorker.start("shares", 4);
+  private final Javalin httpServer;
+  private final TeamShareClient teamShareClient;
+  private final Gauge runningGauge;
+  private final Gauge waitingGauge;
+  private final Gauge limitGauge;
+  private final Gauge grantedShareGauge;
   private final CountDownLatch stopped = new CountDownLatch(1);
 
   private GatewayProcess(GatewaySettings settings, GatewayComponent component) {
     this.settings = settings;
-    this.parts = component;
+    this.component = component;
     component
         .metrics()
         .gauge(
@@ -67,31 +67,32 @@
         .gauge(
             "landingtrack_leaving_servers",
             "Backend servers that the VM list says are leaving.",
-            () -> component.servers().leavingCount());
-    this.teamShares = new TeamShares(settings.vm(), component.limiter(), component.peers());
-    this.running = serviceGauge("running", "Running requests of a service.");
-    this.waiting = serviceGauge("waiting", "Requests of a service that wait in its queue.");
-    this.granted =
+            () -> component.serverTable().leavingCount());
+    this.teamShareClient =
+        new TeamShareClient(settings.vm(), component.teamLimiter(), component.peerClient());
+    this.runningGauge = serviceGauge("running", "Running requests of a service.");
+    this.waitingGauge = serviceGauge("waiting", "Requests of a service that wait in its queue.");
+    this.grantedShareGauge =
         component
             .metrics()
             .gauge(
                 "landingtrack_team_share",
                 "Share of a team's limit granted to this gateway; without a grant it is equal.",
                 "team");
-    this.limits = serviceGauge("limit", "Concurrency limit of a service at this gateway.");
-    this.http =
+    this.limitGauge = serviceGauge("limit", "Concurrency limit of a service at this gateway.");
+    this.httpServer =
         HttpServers.start(
             settings.callersHost(),
             settings.callersPort(),
-            settings.maxRequests(),
+            settings.maxConcurrentRequests(),
             settings.bodyTimeoutMs(),
             component.metrics(),
-            () -> component.link().isReady() && !component.inFlight().isClosed(),
+            () -> component.controllerLink().isReady() && !component.inFlight().isClosed(),
             component.callerApi()::addRoutes);
   }
 
   private Gauge serviceGauge(String name, String help) {
-    return parts.metrics().gauge("landingtrack_service_" + name, help, "service");
+    return component.metrics().gauge("landingtrack_service_" + name, help, "service");
   }
 
   /** Starts a gateway; it runs until it is closed. */
@@ -102,9 +103,10 @@
             .gatewayModule(new GatewayModule(settings))
             .build();
     GatewayProcess process = new GatewayProcess(settings, component);
-    component.link().start();
-    process.shares.every(SHARES_EVERY_MS, process::updateShares);
-    log.info("Gateway {} listens on port {} for callers.", settings.vm(), process.http.port());
+    component.controllerLink().start();
+    process.updater.runPeriodically(UPDATE_INTERVAL_MS, process::updateFromControllers);
+    log.info(
+        "Gateway {} listens on port {} for callers.", settings.vm(), process.httpServer.port());
     return process;
   }
 
@@ -114,26 +116,29 @@
    * entry VM runs one gateway and one controller, so the number of controllers is also the number
    * of gateways.
    */
-  private void updateShares() {
-    List<MemberInfo> controllers = parts.link().allControllers();
-    parts.gates().sharedBy(Math.max(1, controllers.size()));
-    teamShares.refresh(controllers);
-    granted.clear();
-    parts.limiter().grantedShares().forEach((team, share) -> granted.labelValues(team).set(share));
-    parts.gates().state().forEach(this::report);
-    parts.servers().leaving(parts.link().leaving());
-    parts.servers().retain(parts.replica().catalog());
+  private void updateFromControllers() {
+    List<MemberInfo> controllers = component.controllerLink().allControllers();
+    component.serviceLimiters().setGatewayCount(Math.max(1, controllers.size()));
+    teamShareClient.update(controllers);
+    grantedShareGauge.clear();
+    component
+        .teamLimiter()
+        .grantedShares()
+        .forEach((team, share) -> grantedShareGauge.labelValues(team).set(share));
+    component.serviceLimiters().queueStates().forEach(this::updateGauges);
+    component.serverTable().leaving(component.controllerLink().leavingServers());
+    component.serverTable().retain(component.replica().catalog());
   }
 
-  private void report(ServiceGates.State state) {
-    running.labelValues(state.service()).set(state.running());
-    waiting.labelValues(state.service()).set(state.waiting());
-    limits.labelValues(state.service()).set(state.limit());
+  private void updateGauges(ServiceLimiters.QueueState state) {
+    runningGauge.labelValues(state.service()).set(state.running());
+    waitingGauge.labelValues(state.service()).set(state.waiting());
+    limitGauge.labelValues(state.service()).set(state.limit());
   }
 
   /** Returns the port that callers connect to. */
   public int port() {
-    return http.port();
+    return httpServer.port();
   }
 
   /** Blocks until the gateway is closed. */
@@ -148,21 +153,21 @@
   @Override
   public void close() {
     log.info("Gateway {} is stopping and refuses new requests.", settings.vm());
-    parts.inFlight().close();
+    component.inFlight().close();
     int unfinished = 0;
     try {
-      unfinished = parts.inFlight().awaitEmpty(settings.stopGraceMs());
+      unfinished = component.inFlight().awaitEmpty(settings.stopGraceMs());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
     if (unfinished > 0) {
       log.warn("{} requests did not end within the grace period of the stop.", unfinished);
     }
-    shares.close();
-    parts.link().close();
-    http.stop();
-    parts.peers().close();
-    parts.tls().close();
+    updater.close();
+    component.controllerLink().close();
+    httpServer.stop();
+    component.peerClient().close();
+    component.tls().close();
     log.info("Gateway {} stopped.", settings.vm());
     stopped.countDown();
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/gateway/RemoteClaims.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/gateway/RemoteClaimRegistry.java
@@ -20,7 +20,7 @@
 import org.landingtrack.LandingtrackException;
 import org.landingtrack.internal.claim.ClaimShard.Outcome;
 import org.landingtrack.internal.claim.ClaimShards;
-import org.landingtrack.internal.dispatch.ClaimGate;
+import org.landingtrack.internal.dispatch.ClaimRegistry;
 import org.landingtrack.internal.peer.Messages.ClaimAnswer;
 import org.landingtrack.internal.peer.Messages.ClaimQuery;
 import org.landingtrack.internal.peer.Messages.ClaimRelease;
@@ -33,21 +33,21 @@
  * Claims request keys at the controller that owns the key's shard, or at its successor if the owner
  * does not answer. Thread-safe.
  */
-final class RemoteClaims implements ClaimGate {
+final class RemoteClaimRegistry implements ClaimRegistry {
   private static final int TIMEOUT_MS = 4_000;
-  private static final int OWNERS = 2;
+  private static final int MAX_OWNERS = 2;
 
   private final ControllerLink link;
   private final PeerClient peers;
 
-  RemoteClaims(ControllerLink link, PeerClient peers) {
+  RemoteClaimRegistry(ControllerLink link, PeerClient peers) {
     this.link = link;
     this.peers = peers;
   }
 
   @Override
   public void claim(String keyHash, String requestId) {
-    ClaimAnswer answer = ask(keyHash, requestId);
+    ClaimAnswer answer = callOwner(keyHash, requestId);
     switch (Outcome.valueOf(answer.outcome())) {
       case CLAIMED -> {}
       case TAKEN ->
@@ -65,9 +65,9 @@
     }
   }
 
-  private ClaimAnswer ask(String keyHash, String requestId) {
+  private ClaimAnswer callOwner(String keyHash, String requestId) {
     List<MemberInfo> owners = link.ownersOf(ClaimShards.shardOf(keyHash));
-    for (int i = 0; i < Math.min(OWNERS, owners.size()); i++) {
+    for (int i = 0; i < Math.min(MAX_OWNERS, owners.size()); i++) {
       try {
         return peers.call(
             owners.get(i).address(),
