--- a/landingtrack/src/main/java/org/landingtrack/internal/gateway/RemoteHolders.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/gateway/RemoteHolderLookup.java
@@ -34,17 +34,17 @@
  * only loses some reuse of the KV cache, so the timeout is short, and a failed lookup is followed
  * by a backoff in which none is sent. Thread-safe.
  */
-final class RemoteHolders implements HolderLookup {
+final class RemoteHolderLookup implements HolderLookup {
   private static final int TIMEOUT_MS = 40;
-  private static final int OWNERS = 2;
-  private static final long REST_MS = 500;
+  private static final int MAX_OWNERS = 2;
+  private static final long BACKOFF_MS = 500;
 
   private final ControllerLink link;
   private final PeerClient peers;
   private final Ticker ticker;
-  private final AtomicLong restUntilMs = new AtomicLong(Long.MIN_VALUE);
+  private final AtomicLong backoffUntilMs = new AtomicLong(Long.MIN_VALUE);
 
-  RemoteHolders(ControllerLink link, PeerClient peers, Ticker ticker) {
+  RemoteHolderLookup(ControllerLink link, PeerClient peers, Ticker ticker) {
     this.link = link;
     this.peers = peers;
     this.ticker = ticker;
@@ -52,12 +52,12 @@
 
   @Override
   public List<Holder> holders(String service, PrefixChain chain) {
-    if (chain.depth() == 0 || ticker.millis() < restUntilMs.get()) {
+    if (chain.depth() == 0 || ticker.millis() < backoffUntilMs.get()) {
       return List.of();
     }
-    HoldersQuery query = new HoldersQuery(service, chain.group(), chain.keys());
-    List<MemberInfo> owners = new ArrayList<>(link.ownersOf(chain.group()));
-    for (int i = 0; i < Math.min(OWNERS, owners.size()); i++) {
+    HoldersQuery query = new HoldersQuery(service, chain.groupKey(), chain.keys());
+    List<MemberInfo> owners = new ArrayList<>(link.ownersOf(chain.groupKey()));
+    for (int i = 0; i < Math.min(MAX_OWNERS, owners.size()); i++) {
       try {
         return peers
             .call(owners.get(i).address(), query, HoldersAnswer.class, TIMEOUT_MS)
@@ -66,7 +66,7 @@
         // Tries the successor.
       }
     }
-    restUntilMs.set(ticker.millis() + REST_MS);
+    backoffUntilMs.set(ticker.millis() + BACKOFF_MS);
     return List.of();
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/gateway/TeamShares.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/gateway/TeamShareClient.java
@@ -35,16 +35,16 @@
  * owner is chosen by rendezvous hashing from the controllers of all data centres. If it does not
  * answer, the granted share expires and the gateway returns to an equal share. Not thread-safe.
  */
-final class TeamShares {
+final class TeamShareClient {
   private static final Logger log = LoggerFactory.getLogger("shares");
-  private static final String OWNER_SALT = "team/";
-  private static final int CALL_MS = 500;
+  private static final String OWNER_KEY_PREFIX = "team/";
+  private static final int CALL_TIMEOUT_MS = 500;
 
   private final String vm;
   private final TeamLimiter limiter;
   private final PeerClient peers;
 
-  TeamShares(String vm, TeamLimiter limiter, PeerClient peers) {
+  TeamShareClient(String vm, TeamLimiter limiter, PeerClient peers) {
     this.vm = vm;
     this.limiter = limiter;
     this.peers = peers;
@@ -56,27 +56,28 @@
    *
    * @param controllers the live controllers of all data centres
    */
-  void refresh(List<MemberInfo> controllers) {
-    limiter.sharedBy(Math.max(1, controllers.size()));
+  void update(List<MemberInfo> controllers) {
+    limiter.setGateways(Math.max(1, controllers.size()));
     Map<String, List<Demand>> byOwner = new HashMap<>();
     for (Demand demand : limiter.demands()) {
       if (!controllers.isEmpty()) {
-        String key = OWNER_SALT + demand.team();
+        String key = OWNER_KEY_PREFIX + demand.team();
         MemberInfo owner = Hashes.rendezvous(key, controllers, MemberInfo::vm).get(0);
         byOwner.computeIfAbsent(owner.address(), address -> new ArrayList<>()).add(demand);
       }
     }
-    byOwner.forEach(this::ask);
+    byOwner.forEach(this::requestShares);
   }
 
-  private void ask(String owner, List<Demand> demands) {
+  private void requestShares(String owner, List<Demand> demands) {
     List<String> teams = demands.stream().map(Demand::team).toList();
-    List<Double> wantedShares = demands.stream().map(Demand::wanted).toList();
+    List<Double> wantedShares = demands.stream().map(Demand::wantedShare).toList();
     try {
       ShareAnswer answer =
-          peers.call(owner, new ShareQuery(vm, teams, wantedShares), ShareAnswer.class, CALL_MS);
+          peers.call(
+              owner, new ShareQuery(vm, teams, wantedShares), ShareAnswer.class, CALL_TIMEOUT_MS);
       for (int i = 0; i < Math.min(teams.size(), answer.shares().size()); i++) {
-        limiter.granted(teams.get(i), answer.shares().get(i));
+        limiter.applyGrant(teams.get(i), answer.shares().get(i));
       }
     } catch (PeerException e) {
       log.debug("Controller {} granted no shares: {}.", owner, e.getMessage());
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/Ejection.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/Ejection.java
@@ -15,7 +15,7 @@
  */
 package org.landingtrack.internal.health;
 
-import org.landingtrack.internal.health.Evidence.Word;
+import org.landingtrack.internal.health.Evidence.EjectionCounts;
 
 /**
  * State of the ejection of one server on this VM: whether it is in force, and when the next probe
@@ -23,11 +23,11 @@
  * probe delays. Not thread-safe.
  */
 final class Ejection {
-  private static final long FIRST_PAUSE_MS = 1_000;
-  private static final long MAX_PAUSE_MS = 8_000;
+  private static final long INITIAL_PROBE_DELAY_MS = 1_000;
+  private static final long MAX_PROBE_DELAY_MS = 8_000;
 
   /** A server that is ejected again within this time keeps doubling its probe delay. */
-  private static final long REMEMBERED_MS = 30_000;
+  private static final long RETENTION_MS = 30_000;
 
   /**
    * Length of the turn in which one VM may probe the server. Over several turns some VM gets a
@@ -36,26 +36,26 @@
   private static final long TURN_MS = 500;
 
   /** If no VM sent a probe within this time after it was due, the server is reinstated for all. */
-  private static final long UNTRIED_MS = 4_000;
+  private static final long MAX_UNPROBED_MS = 4_000;
 
   private final long server;
   private final long service;
-  private boolean held;
-  private long pauseMs;
-  private long dueAtMs;
-  private long releasedAtMs;
-  private long probesKnown;
-  private long proofsKnown;
-  private Evidence past = Evidence.NONE;
-
-  /** Result of {@link #heard}. */
+  private boolean active;
+  private long probeDelayMs;
+  private long probeDueAtMs;
+  private long reinstatedAtMs;
+  private long knownProbes;
+  private long knownAnsweredProbes;
+  private Evidence earlierEvidence = Evidence.NONE;
+
+  /** Result of {@link #update}. */
   enum Change {
     /** The ejection goes on. */
     NONE,
     /** The server answered a probe and is reinstated. */
-    PROVED,
+    PROBE_ANSWERED,
     /** No VM had a request to probe the server with, so it is reinstated. */
-    UNTRIED
+    NOT_PROBED
   }
 
   /**
@@ -70,68 +70,69 @@
   }
 
   /** Begins the ejection, or begins it again; a repeated one doubles the probe delay. */
-  void begin(Word counts, long nowMs) {
-    pauseMs = pauseMs == 0 ? FIRST_PAUSE_MS : Math.min(MAX_PAUSE_MS, 2 * pauseMs);
-    dueAtMs = nowMs + pauseMs;
-    probesKnown = counts.probes();
-    proofsKnown = counts.proofs();
-    held = true;
+  void begin(EjectionCounts counts, long nowMs) {
+    probeDelayMs =
+        probeDelayMs == 0 ? INITIAL_PROBE_DELAY_MS : Math.min(MAX_PROBE_DELAY_MS, 2 * probeDelayMs);
+    probeDueAtMs = nowMs + probeDelayMs;
+    knownProbes = counts.probes();
+    knownAnsweredProbes = counts.answeredProbes();
+    active = true;
   }
 
   long service() {
     return service;
   }
 
-  boolean isHeld() {
-    return held;
+  boolean isActive() {
+    return active;
   }
 
   /** Returns true if the server was reinstated so long ago that this state can be dropped. */
-  boolean isForgotten(long nowMs) {
-    return !held && nowMs - releasedAtMs > REMEMBERED_MS;
+  boolean isExpired(long nowMs) {
+    return !active && nowMs - reinstatedAtMs > RETENTION_MS;
   }
 
   /**
    * Returns the outcomes since the server was last reinstated. Outcomes from before would eject it
    * again at once.
    */
-  Evidence since(Evidence evidence, long nowMs) {
-    boolean isPast = nowMs - releasedAtMs > RecentOutcomes.WINDOW_MS;
-    return isPast ? evidence : evidence.minus(past);
+  Evidence evidenceSinceReinstatement(Evidence evidence, long nowMs) {
+    boolean isPast = nowMs - reinstatedAtMs > RecentOutcomes.WINDOW_MS;
+    return isPast ? evidence : evidence.minus(earlierEvidence);
   }
 
   /** Updates the ejection with the counts of all VMs; call it only while it is in force. */
-  Change heard(Word counts, Evidence evidence, long nowMs) {
-    if (counts.proofs() > proofsKnown) {
-      release(evidence, nowMs);
-      return Change.PROVED;
+  Change update(EjectionCounts counts, Evidence evidence, long nowMs) {
+    if (counts.answeredProbes() > knownAnsweredProbes) {
+      reinstate(evidence, nowMs);
+      return Change.PROBE_ANSWERED;
     }
-    if (counts.probes() > probesKnown) {
-      pauseMs = Math.min(MAX_PAUSE_MS, 2 * pauseMs);
-      dueAtMs = nowMs + pauseMs;
+    if (counts.probes() > knownProbes) {
+      probeDelayMs = Math.min(MAX_PROBE_DELAY_MS, 2 * probeDelayMs);
+      probeDueAtMs = nowMs + probeDelayMs;
     }
-    probesKnown = counts.probes();
-    proofsKnown = counts.proofs();
-    if (nowMs - dueAtMs > UNTRIED_MS) {
-      release(evidence, nowMs);
-      return Change.UNTRIED;
+    knownProbes = counts.probes();
+    knownAnsweredProbes = counts.answeredProbes();
+    if (nowMs - probeDueAtMs > MAX_UNPROBED_MS) {
+      reinstate(evidence, nowMs);
+      return Change.NOT_PROBED;
     }
     return Change.NONE;
   }
 
-  private void release(Evidence evidence, long nowMs) {
-    held = false;
-    releasedAtMs = nowMs;
-    past = evidence;
+  private void reinstate(Evidence evidence, long nowMs) {
+    active = false;
+    reinstatedAtMs = nowMs;
+    earlierEvidence = evidence;
   }
 
   /** Returns true if the server is ejected and VMs may probe it in turns. */
-  boolean isDue(long nowMs) {
-    return held && nowMs >= dueAtMs;
+  boolean isProbeDue(long nowMs) {
+    return active && nowMs >= probeDueAtMs;
   }
 
   /** Returns the key that selects the VM whose turn it is to probe, by rendezvous hashing. */
-  long turn(long nowMs) {
-    return server + (nowMs - dueAtMs) / TURN_MS;
+  long turnKey(long nowMs) {
+    return server + (nowMs - probeDueAtMs) / TURN_MS;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/Evidence.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/Evidence.java
@@ -33,27 +33,31 @@
   // Indexes of the counts in a tally. Each set of outcomes takes three; count 0 is the rank.
   private static final int LATEST = 1;
   private static final int WINDOW = 4;
-  private static final int HOLDERS = 7;
+  private static final int EJECTING_VMS = 7;
   private static final int PROBES = 8;
-  private static final int PROOFS = 9;
+  private static final int ANSWERED_PROBES = 9;
 
   /**
    * What VMs report about an ejected server.
    *
-   * @param holders number of VMs that eject it now
+   * @param ejectingVms number of VMs that eject it now
    * @param probes number of VMs that probed it recently
-   * @param proofs number of VMs whose probe it answered recently
+   * @param answeredProbes number of VMs whose probe it answered recently
    */
-  record Word(long holders, long probes, long proofs) {
-    static final Word NONE = new Word(0, 0, 0);
+  record EjectionCounts(long ejectingVms, long probes, long answeredProbes) {
+    static final EjectionCounts NONE = new EjectionCounts(0, 0, 0);
 
     /** Reads the counts from the tally of a server. */
-    static Word of(Tally tally) {
-      return new Word(tally.count(HOLDERS), tally.count(PROBES), tally.count(PROOFS));
+    static EjectionCounts of(Tally tally) {
+      return new EjectionCounts(
+          tally.count(EJECTING_VMS), tally.count(PROBES), tally.count(ANSWERED_PROBES));
     }
 
-    Word plus(Word other) {
-      return new Word(holders + other.holders, probes + other.probes, proofs + other.proofs);
+    EjectionCounts plus(EjectionCounts other) {
+      return new EjectionCounts(
+          ejectingVms + other.ejectingVms,
+          probes + other.probes,
+          answeredProbes + other.answeredProbes);
     }
   }
 
@@ -70,16 +74,16 @@
    * Returns the tally of a server for the other VMs. If a message has no room for all servers,
    * ejected ones and those with the most bad outcomes come first.
    */
-  Tally ofServer(long server, Word counts) {
-    return tally(server, window.bad() + counts.holders(), counts);
+  Tally toServerTally(long server, EjectionCounts counts) {
+    return tally(server, window.bad() + counts.ejectingVms(), counts);
   }
 
   /** Returns the tally of a service, which is the baseline that its servers are compared with. */
-  Tally ofService(long service) {
-    return tally(service, window.total() + 1, Word.NONE);
+  Tally toServiceTally(long service) {
+    return tally(service, window.total() + 1, EjectionCounts.NONE);
   }
 
-  private Tally tally(long key, long rank, Word counts) {
+  private Tally tally(long key, long rank, EjectionCounts counts) {
     return new Tally(
         key,
         rank,
@@ -89,9 +93,9 @@
         window.total(),
         window.failures(),
         window.slow(),
-        counts.holders(),
+        counts.ejectingVms(),
         counts.probes(),
-        counts.proofs());
+        counts.answeredProbes());
   }
 
   /** Returns true if any request failed or was slow. */
@@ -100,24 +104,24 @@
   }
 
   Evidence plus(Evidence other) {
-    return each(other, Outcomes::plus);
+    return map(other, Outcomes::plus);
   }
 
   /** Returns these outcomes without others; no count falls below 0. */
   Evidence minus(Evidence other) {
-    return each(other, Outcomes::minus);
+    return map(other, Outcomes::minus);
   }
 
-  /** Scales the outcomes of both windows as {@link Outcomes#atMost} does. */
-  Evidence atMost(long maxBad) {
-    return each(outcomes -> outcomes.atMost(maxBad));
+  /** Scales the outcomes of both windows as {@link Outcomes#scaleToMaxBad} does. */
+  Evidence scaleToMaxBad(long maxBad) {
+    return map(outcomes -> outcomes.scaleToMaxBad(maxBad));
   }
 
-  private Evidence each(Evidence other, BinaryOperator<Outcomes> operator) {
+  private Evidence map(Evidence other, BinaryOperator<Outcomes> operator) {
     return new Evidence(operator.apply(latest, other.latest), operator.apply(window, other.window));
   }
 
-  private Evidence each(UnaryOperator<Outcomes> operator) {
+  private Evidence map(UnaryOperator<Outcomes> operator) {
     return new Evidence(operator.apply(latest), operator.apply(window));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/Work.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/ExpectedWork.java
@@ -20,13 +20,15 @@
  * relation to this work.
  *
  * @param service hash of the service's name
- * @param server hash of the server's incarnation
+ * @param incarnation hash of the server's incarnation
  * @param kind name of a group of similar requests, whose times are compared with each other
  * @param units expected work, including that of requests ahead of it, in any unit that is the same
  *     for all requests of the kind
- * @param targetMs target latency: time within which callers want an answer, or its first event
+ * @param targetLatencyMs target latency: time within which callers want an answer, or its first
+ *     event
  */
-public record Work(long service, long server, String kind, double units, long targetMs) {
+public record ExpectedWork(
+    long service, long incarnation, String kind, double units, long targetLatencyMs) {
   /** A request is slow only if it takes this many times as long as usual. */
   private static final double SLOW_FACTOR = 4;
 
@@ -34,7 +36,7 @@
    * A request is slow only if it takes this share of the target longer than usual, which callers
    * notice.
    */
-  private static final double SLOW_SHARE = 0.25;
+  private static final double MIN_SLOW_TARGET_SHARE = 0.25;
 
   /**
    * Returns true if a request has been waiting for so long that it counts as failed: its target is
@@ -43,10 +45,10 @@
    * @param usualMsPerUnit usual time per unit of work, or 0 if it is not known; then only twice the
    *     target counts
    */
-  boolean isLost(long elapsedMs, double usualMsPerUnit) {
+  boolean isOverdue(long elapsedMs, double usualMsPerUnit) {
     return usualMsPerUnit == 0
-        ? elapsedMs > 2 * targetMs
-        : elapsedMs > targetMs && isSlow(elapsedMs, usualMsPerUnit);
+        ? elapsedMs > 2 * targetLatencyMs
+        : elapsedMs > targetLatencyMs && isSlow(elapsedMs, usualMsPerUnit);
   }
 
   /**
@@ -57,9 +59,10 @@
    */
   boolean isSlow(long elapsedMs, double usualMsPerUnit) {
     if (usualMsPerUnit == 0) {
-      return elapsedMs > targetMs;
+      return elapsedMs > targetLatencyMs;
     }
     double usualMs = usualMsPerUnit * units;
-    return elapsedMs > SLOW_FACTOR * usualMs && elapsedMs > usualMs + SLOW_SHARE * targetMs;
+    return elapsedMs > SLOW_FACTOR * usualMs
+        && elapsedMs > usualMs + MIN_SLOW_TARGET_SHARE * targetLatencyMs;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/HealthPolicy.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/HealthPolicy.java
@@ -35,45 +35,45 @@
    * value about one healthy server a day is ejected by mistake, for 60 servers that each fail one
    * request in a hundred.
    */
-  private static final double ENOUGH = 15;
+  private static final double MIN_LOG_LIKELIHOOD_RATIO = 15;
 
   /**
    * At most one in this many servers of a service is ejected at once, since the others have to
    * carry its load.
    */
-  private static final int OF_SERVERS = 3;
+  private static final int SERVERS_PER_EJECTION = 3;
 
   /**
    * Minimum excess of a server's failure share over the baseline. Below it, retries of the failed
    * requests cost nothing and no caller is harmed.
    */
-  private static final double HARMFUL_FAILURES = 0.2;
+  private static final double MIN_EXCESS_FAILURE_SHARE = 0.2;
 
   /**
    * Minimum excess of the share of slow requests over the baseline. Larger than that for failures,
    * since the time also depends on the request; a slow server is slow for most requests.
    */
-  private static final double HARMFUL_SLOW = 0.5;
+  private static final double MIN_EXCESS_SLOW_SHARE = 0.5;
 
   /** Baseline shares while the other servers have few requests. */
-  private static final double USUAL_FAILURES = 0.01;
+  private static final double PRIOR_FAILURE_SHARE = 0.01;
 
-  private static final double USUAL_SLOW = 0.02;
+  private static final double PRIOR_SLOW_SHARE = 0.02;
 
   /** Weight of the default baseline shares, in requests. */
-  private static final double USUAL_WEIGHT = 100;
+  private static final double PRIOR_WEIGHT = 100;
 
   private HealthPolicy() {}
 
   /** Baseline: shares of failed and of slow requests at the other servers of the service. */
-  private record Usual(double failures, double slow) {}
+  private record Baseline(double failureShare, double slowShare) {}
 
   /**
    * A server and its outcomes.
    *
-   * @param start hash of its incarnation
+   * @param incarnation hash of its incarnation
    */
-  record Server(long start, Evidence evidence) {}
+  record Server(long incarnation, Evidence evidence) {}
 
   /**
    * A server that is to be ejected.
@@ -81,11 +81,11 @@
    * @param reason text for the log
    * @param score log-likelihood ratio; the highest is ejected first
    */
-  record Verdict(Server server, String reason, double score) {}
+  record Outlier(Server server, String reason, double score) {}
 
   /** Returns how many of a service's servers may be ejected at once. */
-  static int mostEjected(int servers) {
-    return servers / OF_SERVERS;
+  static int maxEjections(int servers) {
+    return servers / SERVERS_PER_EJECTION;
   }
 
   /**
@@ -96,12 +96,12 @@
    * @param all outcomes of all servers of the service that are not ejected, in total
    * @param maxEjected how many more may be ejected
    */
-  static List<Verdict> judge(List<Server> servers, Evidence all, int maxEjected) {
-    List<Verdict> ejected = new ArrayList<>();
+  static List<Outlier> detect(List<Server> servers, Evidence all, int maxEjected) {
+    List<Outlier> ejected = new ArrayList<>();
     List<Server> remaining = new ArrayList<>(servers);
     Evidence sum = all;
     while (ejected.size() < maxEjected) {
-      Verdict worst = worst(remaining, sum);
+      Outlier worst = findWorst(remaining, sum);
       if (worst == null) {
         break;
       }
@@ -112,13 +112,13 @@
     return ejected;
   }
 
-  private static @Nullable Verdict worst(List<Server> servers, Evidence sum) {
-    Verdict worst = null;
+  private static @Nullable Outlier findWorst(List<Server> servers, Evidence sum) {
+    Outlier worst = null;
     for (Server server : servers) {
       if (!server.evidence().hasFaults()) {
         continue;
       }
-      Verdict outlier = judge(server, sum.minus(server.evidence()));
+      Outlier outlier = detect(server, sum.minus(server.evidence()));
       if (outlier != null && (worst == null || outlier.score() > worst.score())) {
         worst = outlier;
       }
@@ -127,36 +127,38 @@
   }
 
   /** Compares each window of a server with the worse of both windows of the other servers. */
-  private static @Nullable Verdict judge(Server server, Evidence others) {
-    Usual baseline =
-        new Usual(
-            usual(others, Outcomes::failures, USUAL_FAILURES),
-            usual(others, Outcomes::slow, USUAL_SLOW));
-    Verdict latest = judge(server, server.evidence().latest(), baseline);
-    return latest != null ? latest : judge(server, server.evidence().window(), baseline);
+  private static @Nullable Outlier detect(Server server, Evidence others) {
+    Baseline baseline =
+        new Baseline(
+            baselineShare(others, Outcomes::failures, PRIOR_FAILURE_SHARE),
+            baselineShare(others, Outcomes::slow, PRIOR_SLOW_SHARE));
+    Outlier latest = detect(server, server.evidence().latest(), baseline);
+    return latest != null ? latest : detect(server, server.evidence().window(), baseline);
   }
 
-  private static @Nullable Verdict judge(Server server, Outcomes own, Usual baseline) {
-    double failing = score(own.failures(), own.total(), baseline.failures(), HARMFUL_FAILURES);
-    if (failing >= ENOUGH) {
-      String reason = reason("failed", own.failures(), own.total(), baseline.failures());
-      return new Verdict(server, reason, failing);
+  private static @Nullable Outlier detect(Server server, Outcomes own, Baseline baseline) {
+    double failing =
+        score(own.failures(), own.total(), baseline.failureShare(), MIN_EXCESS_FAILURE_SHARE);
+    if (failing >= MIN_LOG_LIKELIHOOD_RATIO) {
+      String reason = reason("failed", own.failures(), own.total(), baseline.failureShare());
+      return new Outlier(server, reason, failing);
     }
-    double slow = score(own.slow(), own.total(), baseline.slow(), HARMFUL_SLOW);
-    if (slow < ENOUGH) {
+    double slow = score(own.slow(), own.total(), baseline.slowShare(), MIN_EXCESS_SLOW_SHARE);
+    if (slow < MIN_LOG_LIKELIHOOD_RATIO) {
       return null;
     }
-    return new Verdict(server, reason("were slow", own.slow(), own.total(), baseline.slow()), slow);
+    return new Outlier(
+        server, reason("were slow", own.slow(), own.total(), baseline.slowShare()), slow);
   }
 
-  private static double usual(Evidence others, ToLongFunction<Outcomes> bad, double prior) {
+  private static double baselineShare(Evidence others, ToLongFunction<Outcomes> bad, double prior) {
     return Math.max(
-        usual(bad.applyAsLong(others.latest()), others.latest().total(), prior),
-        usual(bad.applyAsLong(others.window()), others.window().total(), prior));
+        baselineShare(bad.applyAsLong(others.latest()), others.latest().total(), prior),
+        baselineShare(bad.applyAsLong(others.window()), others.window().total(), prior));
   }
 
-  private static double usual(long bad, long total, double prior) {
-    return Math.max(prior, (bad + prior * USUAL_WEIGHT) / (total + USUAL_WEIGHT));
+  private static double baselineShare(long bad, long total, double prior) {
+    return Math.max(prior, (bad + prior * PRIOR_WEIGHT) / (total + PRIOR_WEIGHT));
   }
 
   /** Returns the log-likelihood ratio, or 0 if the share is too close to the baseline to matter. */
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/UsualTimes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/MedianLatencies.java
@@ -22,7 +22,7 @@
  * Estimates of the median time that answers to each kind of request take on this VM. A few slow
  * servers hardly move a median. Not thread-safe.
  */
-final class UsualTimes {
+final class MedianLatencies {
   /** Number of samples from which on the estimate is used. */
   private static final int MIN_SAMPLES = 8;
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/Outcomes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/Outcomes.java
@@ -53,7 +53,7 @@
    * Scales the counts down, in the same proportions, so that there are at most {@code maxBad}
    * failures and at most {@code maxBad} slow requests.
    */
-  Outcomes atMost(long maxBad) {
+  Outcomes scaleToMaxBad(long maxBad) {
     long worst = Math.max(failures, slow);
     if (worst <= maxBad) {
       return this;
--- a/landingtrack/src/main/java/org/landingtrack/internal/health/RecentOutcomes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/health/RecentOutcomes.java
@@ -15,7 +15,7 @@
  */
 package org.landingtrack.internal.health;
 
-import org.landingtrack.internal.base.SlidingCount;
+import org.landingtrack.internal.base.SlidingWindowCounter;
 
 /** Sliding-window counts of the outcomes that this VM saw at one server. Not thread-safe. */
 final class RecentOutcomes {
@@ -33,12 +33,12 @@
 
   private static final long SLOT_MS = 250;
 
-  private final SlidingCount total = new SlidingCount(WINDOW_MS, SLOT_MS);
-  private final SlidingCount failures = new SlidingCount(WINDOW_MS, SLOT_MS);
-  private final SlidingCount slow = new SlidingCount(WINDOW_MS, SLOT_MS);
+  private final SlidingWindowCounter total = new SlidingWindowCounter(WINDOW_MS, SLOT_MS);
+  private final SlidingWindowCounter failures = new SlidingWindowCounter(WINDOW_MS, SLOT_MS);
+  private final SlidingWindowCounter slow = new SlidingWindowCounter(WINDOW_MS, SLOT_MS);
 
   /** Counts a request, whatever its outcome. */
-  void addTotal(long nowMs) {
+  void addRequest(long nowMs) {
     total.add(1, nowMs);
   }
 
@@ -51,14 +51,14 @@
   }
 
   /** Returns the outcomes in both windows. */
-  Evidence sum(long nowMs) {
+  Evidence toEvidence(long nowMs) {
     return new Evidence(within(LATEST_MS, nowMs), within(WINDOW_MS, nowMs));
   }
 
   private Outcomes within(long windowMs, long nowMs) {
     return new Outcomes(
-        total.atMost(windowMs, nowMs),
-        failures.atMost(windowMs, nowMs),
-        slow.atMost(windowMs, nowMs));
+        total.sumRoundedDown(windowMs, nowMs),
+        failures.sumRoundedDown(windowMs, nowMs),
+        slow.sumRoundedDown(windowMs, nowMs));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/kept/ExportPolicy.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/kept/ExportPolicy.java
@@ -25,7 +25,7 @@
  * cross the link twice, once for the export and once for the restore. Stateless; does no I/O.
  */
 public final class ExportPolicy {
-  private static final double ASSUMED_MS_PER_TOKEN = 0.05;
+  private static final double ASSUMED_PREFILL_MS_PER_TOKEN = 0.05;
   private static final int MIN_BLOCKS = 2;
 
   private ExportPolicy() {}
@@ -34,13 +34,13 @@
    * Counts how many groups of a service were requested again. This is the prior for a group that
    * was requested only once.
    *
-   * @param firsts groups that were requested at least once
-   * @param returns groups that were requested at least twice
+   * @param groups groups that were requested at least once
+   * @param reusedGroups groups that were requested at least twice
    */
-  public record ReturnRate(long firsts, long returns) {
+  public record ReuseRate(long groups, long reusedGroups) {
     /** Returns the probability that a group is requested again, with add-one smoothing. */
     public double probability() {
-      return (1.0 + returns) / (2.0 + firsts);
+      return (1.0 + reusedGroups) / (2.0 + groups);
     }
   }
 
@@ -50,7 +50,7 @@
    * @param blocks number of leading blocks to export; 0 for none
    * @param reason the reason, as a sentence
    */
-  public record Verdict(int blocks, String reason) {}
+  public record Decision(int blocks, String reason) {}
 
   /**
    * Decides whether to export the blocks of a group.
@@ -61,28 +61,28 @@
    * @param storedBlocks leading blocks that a store VM already holds
    * @param kvBytesPerToken size of the KV cache of one token, in bytes
    */
-  public static Verdict decide(
+  public static Decision decide(
       PrefixHistory history,
-      ReturnRate rate,
+      ReuseRate rate,
       Service service,
       int storedBlocks,
       int kvBytesPerToken) {
-    boolean requestedAgain = history.visits() > 1;
-    int wanted = requestedAgain ? history.returningBlocks() : history.lastChain().size();
+    boolean requestedAgain = history.requests() > 1;
+    int wanted = requestedAgain ? history.sharedBlocks() : history.lastChain().size();
     int blocks = wanted - storedBlocks;
     if (blocks < MIN_BLOCKS) {
-      return new Verdict(0, "The reusable prefix is already stored or too short.");
+      return new Decision(0, "The reusable prefix is already stored or too short.");
     }
     double probability = requestedAgain ? 1 : Math.min(1, rate.probability());
     double tokens = (double) blocks * PrefixChain.BLOCK_TOKENS;
     double savings =
         probability
             * tokens
-            * (service.weightTtft() * ASSUMED_MS_PER_TOKEN + service.weightRecompute());
+            * (service.weightTtft() * ASSUMED_PREFILL_MS_PER_TOKEN + service.weightRecompute());
     double transferCost = 2 * tokens * kvBytesPerToken / 1e6 * service.weightLink();
     if (savings <= transferCost) {
-      return new Verdict(0, "The transfer costs more than the expected reuse saves.");
+      return new Decision(0, "The transfer costs more than the expected reuse saves.");
     }
-    return new Verdict(wanted, "The expected reuse saves more than the transfer costs.");
+    return new Decision(wanted, "The expected reuse saves more than the transfer costs.");
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/kept/HttpKeptStateClient.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/kept/HttpKvExportClient.java
@@ -31,17 +31,18 @@
 import org.landingtrack.internal.base.Json;
 
 /**
- * {@link KeptStateClient} over HTTP with JSON bodies. A failed call or a status other than 2xx
+ * {@link KvExportClient} over HTTP with JSON bodies. A failed call or a status other than 2xx
  * yields an empty result. Thread-safe.
  */
-public final class HttpKeptStateClient implements KeptStateClient {
+public final class HttpKvExportClient implements KvExportClient {
   private static final MediaType JSON_TYPE = MediaType.get("application/json");
-  private static final long CALL_MS = 2_000;
+  private static final long CALL_TIMEOUT_MS = 2_000;
 
   private final OkHttpClient client = new OkHttpClient();
 
   @Override
-  public Optional<Exported> export(String engine, String store, List<String> keys, long timeoutMs) {
+  public Optional<ExportResult> export(
+      String engine, String store, List<String> keys, long timeoutMs) {
     ObjectNode body = Json.LENIENT.createObjectNode();
     body.put("store", store);
     keys.forEach(body.putArray("keys")::add);
@@ -58,7 +59,7 @@
                 blocks.add(
                     new WrittenBlock(item.path("key").asText(), item.path("checksum").asText()));
               }
-              return new Exported(blocks, json.path("bytes").asLong());
+              return new ExportResult(blocks, json.path("bytes").asLong());
             });
   }
 
@@ -75,7 +76,7 @@
             .url("http://" + store + "/v1/manifests/" + manifest.id())
             .put(RequestBody.create(body.toString(), JSON_TYPE))
             .build();
-    return call(request, CALL_MS).isPresent();
+    return call(request, CALL_TIMEOUT_MS).isPresent();
   }
 
   @Override
@@ -85,19 +86,19 @@
             .url("http://" + store + "/v1/manifests/" + manifestId)
             .delete()
             .build();
-    return call(request, CALL_MS).isPresent();
+    return call(request, CALL_TIMEOUT_MS).isPresent();
   }
 
   @Override
-  public List<KeptManifest> manifests(String store) {
+  public List<StoredManifest> listManifests(String store) {
     Request request = new Request.Builder().url("http://" + store + "/v1/manifests").build();
-    List<KeptManifest> manifests = new ArrayList<>();
-    call(request, CALL_MS)
+    List<StoredManifest> manifests = new ArrayList<>();
+    call(request, CALL_TIMEOUT_MS)
         .ifPresent(
             json -> {
               for (JsonNode item : json.path("manifests")) {
                 manifests.add(
-                    new KeptManifest(
+                    new StoredManifest(
                         item.path("id").asText(),
                         item.path("group").asText(),
                         item.path("bytes").asLong(),
@@ -108,12 +109,13 @@
   }
 
   @Override
-  public Optional<Fill> fill(String store) {
+  public Optional<StoreUsage> usage(String store) {
     Request request = new Request.Builder().url("http://" + store + "/v1/fill").build();
-    return call(request, CALL_MS)
+    return call(request, CALL_TIMEOUT_MS)
         .map(
             json ->
-                new Fill(json.path("used_bytes").asLong(), json.path("capacity_bytes").asLong()));
+                new StoreUsage(
+                    json.path("used_bytes").asLong(), json.path("capacity_bytes").asLong()));
   }
 
   private Optional<JsonNode> call(Request request, long timeoutMs) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/kept/KeptStateClient.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/kept/KvExportClient.java
@@ -24,7 +24,7 @@
  *
  * <p>Engines and store VMs are named by address, {@code host:port}.
  */
-public interface KeptStateClient {
+public interface KvExportClient {
   /**
    * A block that an engine wrote to a store VM.
    *
@@ -34,7 +34,7 @@
   record WrittenBlock(String key, String checksum) {}
 
   /** The result of an export: the blocks that the engine wrote and their total size in bytes. */
-  record Exported(List<WrittenBlock> blocks, long bytes) {}
+  record ExportResult(List<WrittenBlock> blocks, long bytes) {}
 
   /**
    * A list of blocks that makes them readable. It is published only after the store VM holds each
@@ -51,17 +51,17 @@
    * @param bytes size of its blocks
    * @param lastReadMs time of the last read as the store VM reports it, in milliseconds
    */
-  record KeptManifest(String id, String group, long bytes, long lastReadMs) {}
+  record StoredManifest(String id, String group, long bytes, long lastReadMs) {}
 
   /** Used and total capacity of a store VM. */
-  record Fill(long usedBytes, long capacityBytes) {}
+  record StoreUsage(long usedBytes, long capacityBytes) {}
 
   /**
    * Makes an engine write blocks to a store VM.
    *
    * @return the blocks that were written; empty if the call fails or exceeds {@code timeoutMs}
    */
-  Optional<Exported> export(String engine, String store, List<String> keys, long timeoutMs);
+  Optional<ExportResult> export(String engine, String store, List<String> keys, long timeoutMs);
 
   /** Publishes a manifest. Returns true if the store VM confirmed it. */
   boolean publish(String store, Manifest manifest);
@@ -76,8 +76,8 @@
    * Lists the manifests of a store VM, the least recently read first. Returns an empty list if the
    * call fails.
    */
-  List<KeptManifest> manifests(String store);
+  List<StoredManifest> listManifests(String store);
 
   /** Returns the usage of a store VM; empty if the call fails. */
-  Optional<Fill> fill(String store);
+  Optional<StoreUsage> usage(String store);
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/kept/KeptStateKeeper.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/kept/KvExporter.java
@@ -23,7 +23,7 @@
 import java.util.UUID;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Supplier;
-import org.landingtrack.internal.base.Duty;
+import org.landingtrack.internal.base.BoundedWorker;
 import org.landingtrack.internal.base.Hashes;
 import org.landingtrack.internal.base.Ticker;
 import org.landingtrack.internal.catalog.BackendServer;
@@ -34,11 +34,11 @@
 import org.landingtrack.internal.catalog.Service;
 import org.landingtrack.internal.catalog.WeightVersion;
 import org.landingtrack.internal.directory.PrefixDirectory;
-import org.landingtrack.internal.kept.ExportPolicy.ReturnRate;
-import org.landingtrack.internal.kept.KeptStateClient.Exported;
-import org.landingtrack.internal.kept.KeptStateClient.Fill;
-import org.landingtrack.internal.kept.KeptStateClient.KeptManifest;
-import org.landingtrack.internal.kept.KeptStateClient.Manifest;
+import org.landingtrack.internal.kept.ExportPolicy.ReuseRate;
+import org.landingtrack.internal.kept.KvExportClient.ExportResult;
+import org.landingtrack.internal.kept.KvExportClient.Manifest;
+import org.landingtrack.internal.kept.KvExportClient.StoreUsage;
+import org.landingtrack.internal.kept.KvExportClient.StoredManifest;
 import org.landingtrack.internal.peer.Messages.Fact;
 import org.landingtrack.internal.peer.Messages.Holder;
 import org.landingtrack.internal.prefix.PrefixChain;
@@ -53,30 +53,31 @@
  * blocks twice is harmless, and a manifest is published after its blocks are complete and withdrawn
  * before they are freed. Thread-safe; exports run on one background thread.
  */
-public final class KeptStateKeeper implements AutoCloseable {
+public final class KvExporter implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("kept");
   private static final int MAX_GROUPS = 200_000;
-  private static final int RING = 1_024;
-  private static final int HOLDERS = 8;
-  private static final long EXPORT_MS = 20_000;
-  private static final long RETRY_AFTER_MS = 5_000;
-  private static final double FULL = 0.9;
-  private static final double ROOM = 0.8;
-  private static final int DEFAULT_KV_BYTES = 1_000;
+  private static final int EXPORT_QUEUE_SIZE = 1_024;
+  private static final int MAX_HOLDERS = 8;
+  private static final long EXPORT_TIMEOUT_MS = 20_000;
+  private static final long MIN_ATTEMPT_INTERVAL_MS = 5_000;
+  private static final double EVICTION_START_USAGE = 0.9;
+  private static final double EVICTION_TARGET_USAGE = 0.8;
+  private static final int DEFAULT_KV_BYTES_PER_TOKEN = 1_000;
 
   private final Supplier<Catalog> catalog;
   private final PrefixDirectory directory;
-  private final KeptStateClient client;
+  private final KvExportClient client;
   private final Ticker ticker;
   private final Cache<String, PrefixHistory> histories =
       Caffeine.newBuilder().maximumSize(MAX_GROUPS).build();
-  private final Cache<String, Long> triedMs = Caffeine.newBuilder().maximumSize(MAX_GROUPS).build();
-  private final Map<String, ReturnRate> rates = new ConcurrentHashMap<>();
-  private final Map<String, LinkBudget> links = new ConcurrentHashMap<>();
-  private final Duty exporter = Duty.start("kept-export", RING);
+  private final Cache<String, Long> lastAttemptMs =
+      Caffeine.newBuilder().maximumSize(MAX_GROUPS).build();
+  private final Map<String, ReuseRate> reuseRates = new ConcurrentHashMap<>();
+  private final Map<String, LinkBudget> linkBudgets = new ConcurrentHashMap<>();
+  private final BoundedWorker exporter = BoundedWorker.start("kept-export", EXPORT_QUEUE_SIZE);
 
-  public KeptStateKeeper(
-      Supplier<Catalog> catalog, PrefixDirectory directory, KeptStateClient client, Ticker ticker) {
+  public KvExporter(
+      Supplier<Catalog> catalog, PrefixDirectory directory, KvExportClient client, Ticker ticker) {
     this.catalog = catalog;
     this.directory = directory;
     this.client = client;
@@ -89,7 +90,7 @@
    * @param group key of the prompt's first block
    * @param chain keys of all blocks of the prompt, in order
    */
-  public void visited(String service, String group, List<String> chain) {
+  public void onRequest(String service, String group, List<String> chain) {
     long now = ticker.millis();
     histories
         .asMap()
@@ -97,35 +98,35 @@
             group,
             (key, history) -> {
               if (history == null) {
-                count(service, true);
-                return PrefixHistory.first(service, chain, now);
+                updateReuseRate(service, true);
+                return PrefixHistory.ofFirstRequest(service, chain, now);
               }
-              if (history.visits() == 1) {
-                count(service, false);
+              if (history.requests() == 1) {
+                updateReuseRate(service, false);
               }
-              return history.visited(chain, now);
+              return history.afterRequest(chain, now);
             });
   }
 
-  private void count(String service, boolean first) {
-    rates.merge(
+  private void updateReuseRate(String service, boolean first) {
+    reuseRates.merge(
         service,
-        new ReturnRate(first ? 1 : 0, first ? 0 : 1),
-        (a, b) -> new ReturnRate(a.firsts() + b.firsts(), a.returns() + b.returns()));
+        new ReuseRate(first ? 1 : 0, first ? 0 : 1),
+        (a, b) -> new ReuseRate(a.groups() + b.groups(), a.reusedGroups() + b.reusedGroups()));
   }
 
   /**
    * Schedules an export decision for each group for which an engine reports new blocks. Drops the
    * group if the queue is full.
    */
-  public void learned(List<Fact> facts) {
+  public void onFacts(List<Fact> facts) {
     String previousGroup = "";
     for (Fact fact : facts) {
       boolean fromEngine = fact.kept().isEmpty() && fact.held();
       if (fromEngine && !fact.group().equals(previousGroup)) {
         previousGroup = fact.group();
         String group = previousGroup;
-        if (!exporter.offer(() -> consider(group))) {
+        if (!exporter.offer(() -> exportIfWorthwhile(group))) {
           log.debug(
               "Export queue is full; skipping group {} until new facts about it arrive.", group);
         }
@@ -133,11 +134,11 @@
     }
   }
 
-  private void consider(String group) {
+  private void exportIfWorthwhile(String group) {
     PrefixHistory history = histories.getIfPresent(group);
     long now = ticker.millis();
-    Long lastAttempt = triedMs.getIfPresent(group);
-    if (history == null || (lastAttempt != null && now - lastAttempt < RETRY_AFTER_MS)) {
+    Long lastAttempt = lastAttemptMs.getIfPresent(group);
+    if (history == null || (lastAttempt != null && now - lastAttempt < MIN_ATTEMPT_INTERVAL_MS)) {
       return;
     }
     Catalog current = catalog.get();
@@ -145,11 +146,11 @@
     if (service == null || service.store() == null) {
       return;
     }
-    List<Holder> holders = directory.holders(group, history.lastChain(), HOLDERS);
-    ReturnRate rate = rates.getOrDefault(history.service(), new ReturnRate(0, 0));
+    List<Holder> holders = directory.holders(group, history.lastChain(), MAX_HOLDERS);
+    ReuseRate rate = reuseRates.getOrDefault(history.service(), new ReuseRate(0, 0));
     int bytesPerToken = kvBytesPerToken(current, service);
-    ExportPolicy.Verdict decision =
-        ExportPolicy.decide(history, rate, service, keptDepth(holders), bytesPerToken);
+    ExportPolicy.Decision decision =
+        ExportPolicy.decide(history, rate, service, storedDepth(holders), bytesPerToken);
     if (decision.blocks() == 0) {
       return;
     }
@@ -160,11 +161,11 @@
     if (source.isEmpty()) {
       return;
     }
-    triedMs.put(group, now);
+    lastAttemptMs.put(group, now);
     export(current, service, history, group, source.get(), decision.blocks(), bytesPerToken);
   }
 
-  private static int keptDepth(List<Holder> holders) {
+  private static int storedDepth(List<Holder> holders) {
     int depth = 0;
     for (Holder holder : holders) {
       if (!holder.kept().isEmpty()) {
@@ -177,13 +178,13 @@
   private static int kvBytesPerToken(Catalog current, Service service) {
     String version = service.weightVersion();
     if (version == null) {
-      return DEFAULT_KV_BYTES;
+      return DEFAULT_KV_BYTES_PER_TOKEN;
     }
     return current
         .find(Kind.WEIGHT_VERSION, version, WeightVersion.class)
         .flatMap(v -> current.find(Kind.MODEL, v.model(), Model.class))
         .map(Model::kvBytesPerToken)
-        .orElse(DEFAULT_KV_BYTES);
+        .orElse(DEFAULT_KV_BYTES_PER_TOKEN);
   }
 
   private void export(
@@ -194,22 +195,23 @@
       Holder source,
       int blocks,
       int bytesPerToken) {
-    Optional<NamedBackendServer> store = storeFor(current, service, group);
+    Optional<NamedBackendServer> store = selectStore(current, service, group);
     Optional<BackendServer> engine =
         current.find(Kind.BACKEND_SERVER, source.server(), BackendServer.class);
     if (store.isEmpty() || engine.isEmpty()) {
       return;
     }
     long bytes = (long) blocks * bytesPerToken * PrefixChain.BLOCK_TOKENS;
-    LinkBudget budget = links.computeIfAbsent(history.service(), s -> new LinkBudget(ticker));
-    if (!budget.tryTake(bytes, service.linkBytesPerSecond() / 2.0)) {
+    LinkBudget budget = linkBudgets.computeIfAbsent(history.service(), s -> new LinkBudget(ticker));
+    if (!budget.tryAcquire(bytes, service.linkBytesPerSecond() / 2.0)) {
       log.debug("Not exporting group {}: the link's budget is used up.", group);
       return;
     }
     String address = store.get().spec().address();
-    makeRoom(address);
+    evictIfFull(address);
     List<String> keys = history.lastChain().subList(0, blocks);
-    Optional<Exported> result = client.export(engine.get().address(), address, keys, EXPORT_MS);
+    Optional<ExportResult> result =
+        client.export(engine.get().address(), address, keys, EXPORT_TIMEOUT_MS);
     if (result.isEmpty() || result.get().blocks().size() < blocks) {
       log.info(
           "Export from {} to store VM {} failed or is incomplete.",
@@ -228,7 +230,7 @@
    * Returns the store VM for a group, by rendezvous hashing. All exports of a group go to the same
    * store VM, so that they share blocks there.
    */
-  private static Optional<NamedBackendServer> storeFor(
+  private static Optional<NamedBackendServer> selectStore(
       Catalog current, Service service, String group) {
     String name = service.store();
     if (name == null) {
@@ -239,13 +241,15 @@
         .findFirst();
   }
 
-  private void makeRoom(String store) {
-    Optional<Fill> usage = client.fill(store);
-    if (usage.isEmpty() || usage.get().usedBytes() < FULL * usage.get().capacityBytes()) {
+  private void evictIfFull(String store) {
+    Optional<StoreUsage> usage = client.usage(store);
+    if (usage.isEmpty()
+        || usage.get().usedBytes() < EVICTION_START_USAGE * usage.get().capacityBytes()) {
       return;
     }
-    long bytesToFree = (long) (usage.get().usedBytes() - ROOM * usage.get().capacityBytes());
-    for (KeptManifest manifest : client.manifests(store)) {
+    long bytesToFree =
+        (long) (usage.get().usedBytes() - EVICTION_TARGET_USAGE * usage.get().capacityBytes());
+    for (StoredManifest manifest : client.listManifests(store)) {
       if (bytesToFree <= 0) {
         break;
       }
--- a/landingtrack/src/main/java/org/landingtrack/internal/kept/LinkBudget.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/kept/LinkBudget.java
@@ -27,31 +27,31 @@
 public final class LinkBudget {
   private static final double BURST_SECONDS = 2;
   private static final double SMOOTHING = 0.3;
-  private static final double FIRST_BYTES_PER_MS = 50_000;
+  private static final double INITIAL_BYTES_PER_MS = 50_000;
 
   private final Ticker ticker;
-  private double bytes;
+  private double availableBytes;
   private long lastMs;
-  private double bytesPerMs = FIRST_BYTES_PER_MS;
-  private long moved;
+  private double bytesPerMs = INITIAL_BYTES_PER_MS;
+  private long transferredBytes;
 
   public LinkBudget(Ticker ticker) {
     this.ticker = ticker;
     this.lastMs = ticker.millis();
-    this.bytes = Double.MAX_VALUE;
+    this.availableBytes = Double.MAX_VALUE;
   }
 
   /** Returns the bytes that may be transferred now. */
   public synchronized long available(double bytesPerSecond) {
     refill(bytesPerSecond);
-    return (long) Math.max(0, bytes);
+    return (long) Math.max(0, availableBytes);
   }
 
   /** Returns the share of the budget that is used up, 0 to 1; 1 if the rate is 0. */
-  public synchronized double scarcity(double bytesPerSecond) {
+  public synchronized double usedShare(double bytesPerSecond) {
     refill(bytesPerSecond);
     double capacity = bytesPerSecond * BURST_SECONDS;
-    return capacity <= 0 ? 1 : Math.min(1, Math.max(0, 1 - bytes / capacity));
+    return capacity <= 0 ? 1 : Math.min(1, Math.max(0, 1 - availableBytes / capacity));
   }
 
   /**
@@ -60,20 +60,20 @@
    *
    * @return false if the bytes are not available or the rate is 0
    */
-  public synchronized boolean tryTake(long wanted, double bytesPerSecond) {
+  public synchronized boolean tryAcquire(long wanted, double bytesPerSecond) {
     refill(bytesPerSecond);
     double needed = Math.min((double) wanted, bytesPerSecond * BURST_SECONDS);
-    if (bytes < needed || bytesPerSecond <= 0) {
+    if (availableBytes < needed || bytesPerSecond <= 0) {
       return false;
     }
-    bytes -= wanted;
+    availableBytes -= wanted;
     return true;
   }
 
   private void refill(double bytesPerSecond) {
     long now = ticker.millis();
     double refilled = (now - lastMs) * bytesPerSecond / 1000;
-    bytes = Math.min(bytesPerSecond * BURST_SECONDS, bytes + refilled);
+    availableBytes = Math.min(bytesPerSecond * BURST_SECONDS, availableBytes + refilled);
     lastMs = now;
   }
 
@@ -81,16 +81,16 @@
    * Records a completed transfer and updates the estimated throughput. Ignores a transfer without
    * bytes or without duration.
    */
-  public synchronized void observed(long transferBytes, double elapsedMs) {
+  public synchronized void recordTransfer(long transferBytes, double elapsedMs) {
     if (transferBytes <= 0 || elapsedMs <= 0) {
       return;
     }
-    moved += transferBytes;
+    transferredBytes += transferBytes;
     bytesPerMs += SMOOTHING * (transferBytes / elapsedMs - bytesPerMs);
   }
 
   /** Records a failed transfer, which lowers the estimated throughput. */
-  public synchronized void failed() {
+  public synchronized void recordFailure() {
     bytesPerMs *= 1 - SMOOTHING;
   }
 
@@ -100,7 +100,7 @@
   }
 
   /** Returns the total of the bytes transferred. */
-  public synchronized long moved() {
-    return moved;
+  public synchronized long transferredBytes() {
+    return transferredBytes;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/kept/PrefixHistory.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/kept/PrefixHistory.java
@@ -21,35 +21,36 @@
  * The request history of a group, that is, of all prompts with the same first block. Immutable.
  *
  * @param service name of the service
- * @param visits number of requests
- * @param lastMs time of the last request, in milliseconds of the monotonic clock
- * @param gapMs smoothed interval between requests, in milliseconds; 0 before the second request
+ * @param requests number of requests
+ * @param lastRequestMs time of the last request, in milliseconds of the monotonic clock
+ * @param intervalMs smoothed interval between requests, in milliseconds; 0 before the second
+ *     request
  * @param lastChain block keys of the last prompt, in order
- * @param returningBlocks number of leading blocks that the last two prompts share
+ * @param sharedBlocks number of leading blocks that the last two prompts share
  */
 public record PrefixHistory(
     String service,
-    int visits,
-    long lastMs,
-    double gapMs,
+    int requests,
+    long lastRequestMs,
+    double intervalMs,
     List<String> lastChain,
-    int returningBlocks) {
+    int sharedBlocks) {
   private static final double SMOOTHING = 0.3;
 
   /** Creates the history of a group at its first request. */
-  public static PrefixHistory first(String service, List<String> chain, long nowMs) {
+  public static PrefixHistory ofFirstRequest(String service, List<String> chain, long nowMs) {
     return new PrefixHistory(service, 1, nowMs, 0, List.copyOf(chain), 0);
   }
 
   /** Returns the history after one more request. */
-  public PrefixHistory visited(List<String> chain, long nowMs) {
+  public PrefixHistory afterRequest(List<String> chain, long nowMs) {
     int shared = 0;
     int limit = Math.min(chain.size(), lastChain.size());
     while (shared < limit && chain.get(shared).equals(lastChain.get(shared))) {
       shared++;
     }
-    double interval = nowMs - lastMs;
-    double smoothed = visits == 1 ? interval : gapMs + SMOOTHING * (interval - gapMs);
-    return new PrefixHistory(service, visits + 1, nowMs, smoothed, List.copyOf(chain), shared);
+    double interval = nowMs - lastRequestMs;
+    double smoothed = requests == 1 ? interval : intervalMs + SMOOTHING * (interval - intervalMs);
+    return new PrefixHistory(service, requests + 1, nowMs, smoothed, List.copyOf(chain), shared);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/lease/Lease.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/lease/Lease.java
@@ -37,18 +37,18 @@
  * detects a rollback, or reads such a store for the first time, acquires nothing until a lease that
  * the store has lost must have expired. Tokens continue above all earlier ones.
  *
- * <p>{@link #step}, {@link #look} and {@link #beforeUntilMs} are called by one thread; {@link
- * #token} may be called by any thread.
+ * <p>{@link #acquireOrRenew}, {@link #observe} and {@link #previousHolderUntilMs} are called by one
+ * thread; {@link #token} may be called by any thread.
  */
 public final class Lease {
   /** Share of the duration after which a holder without a renewal stops on its own. */
   static final double HOLD_SHARE = 0.6;
 
   /** Factor by which others wait longer than the duration, as a margin for clock drift. */
-  static final double DRIFT_MARGIN = 1.1;
+  static final double DRIFT_FACTOR = 1.1;
 
   /** Number of bits for the epochs within one generation of the store. */
-  private static final int GENERATION_SHIFT = 32;
+  private static final int EPOCH_BITS = 32;
 
   private final ObjectApi api;
   private final Ticker ticker;
@@ -56,11 +56,11 @@
   private final String self;
   private final long durationMs;
 
-  private long seenVersion = -1;
-  private long seenSinceMs;
-  private long beforeUntilMs = Long.MIN_VALUE;
+  private long lastSeenVersion = -1;
+  private long versionSeenAtMs;
+  private long previousHolderUntilMs = Long.MIN_VALUE;
   private long generation = -1;
-  private long unsureSinceMs;
+  private long generationSeenAtMs;
   private volatile long epoch;
   private volatile long holdUntilMs = Long.MIN_VALUE;
 
@@ -92,8 +92,8 @@
    * Returns the latest time, by this process's clock, until which a previous holder may have held
    * the lease before the current term; {@link Long#MIN_VALUE} if there was none.
    */
-  public long beforeUntilMs() {
-    return beforeUntilMs;
+  public long previousHolderUntilMs() {
+    return previousHolderUntilMs;
   }
 
   /**
@@ -102,22 +102,22 @@
    *
    * @param maxOrderMs longest time that an order may be in flight
    */
-  public long settleMs(long maxOrderMs) {
-    return (long) (durationMs * DRIFT_MARGIN) + maxOrderMs;
+  public long handoverDelayMs(long maxOrderMs) {
+    return (long) (durationMs * DRIFT_FACTOR) + maxOrderMs;
   }
 
   /**
    * Acquires or renews the lease if possible. Must be called several times per duration. Failures
    * of the store are ignored: without a renewal the lease expires.
    */
-  public void step() {
+  public void acquireOrRenew() {
     try {
-      Optional<StoredObject> stored = read();
+      Optional<StoredObject> stored = readRecord();
       if (stored.isEmpty()) {
-        create();
+        createRecord();
         return;
       }
-      consider(stored.get());
+      renewOrTakeOver(stored.get());
     } catch (PlatformException e) {
       // Without an answer the lease expires on its own.
     }
@@ -127,36 +127,38 @@
    * Reads and records the state of the lease without acquiring it, so that a later term of this
    * process knows how long ago the previous one ended.
    */
-  public void look() {
+  public void observe() {
     try {
-      read().ifPresent(this::see);
+      readRecord().ifPresent(this::recordVersion);
     } catch (PlatformException e) {
       // The record is seen by a later read, and then counts as newer than it is.
     }
   }
 
   /** Reads the record; a new generation of the store ends the term of this process. */
-  private Optional<StoredObject> read() {
+  private Optional<StoredObject> readRecord() {
     Optional<StoredObject> stored = api.read(CallClass.LEASE, key);
     if (api.generation() != generation) {
       generation = api.generation();
-      unsureSinceMs = ticker.millis();
+      generationSeenAtMs = ticker.millis();
       holdUntilMs = Long.MIN_VALUE;
     }
     return stored;
   }
 
   /** Returns the latest time until which a lease that the store has lost may still be held. */
-  private long forgottenUntilMs() {
-    return generation == 0 ? Long.MIN_VALUE : unsureSinceMs + (long) (durationMs * DRIFT_MARGIN);
+  private long lostLeaseUntilMs() {
+    return generation == 0
+        ? Long.MIN_VALUE
+        : generationSeenAtMs + (long) (durationMs * DRIFT_FACTOR);
   }
 
-  private void create() {
-    if (ticker.millis() < forgottenUntilMs()) {
+  private void createRecord() {
+    if (ticker.millis() < lostLeaseUntilMs()) {
       return;
     }
-    write(new LeaseRecord(self, nextEpoch(0), durationMs, 0), ObjectApi.ABSENT);
-    beforeUntilMs = forgottenUntilMs();
+    writeRecord(new LeaseRecord(self, nextEpoch(0), durationMs, 0), ObjectApi.ABSENT);
+    previousHolderUntilMs = lostLeaseUntilMs();
   }
 
   /**
@@ -164,42 +166,43 @@
    * epochs that the store may have lost.
    */
   private long nextEpoch(long previous) {
-    return Math.max(previous, generation << GENERATION_SHIFT) + 1;
+    return Math.max(previous, generation << EPOCH_BITS) + 1;
   }
 
   /** Records the version of the lease record and when it was first seen. */
-  private void see(StoredObject stored) {
-    if (stored.version() != seenVersion) {
-      seenVersion = stored.version();
-      seenSinceMs = ticker.millis();
+  private void recordVersion(StoredObject stored) {
+    if (stored.version() != lastSeenVersion) {
+      lastSeenVersion = stored.version();
+      versionSeenAtMs = ticker.millis();
     }
   }
 
   /** Renews the lease if it is held here, or takes it over if it was released or has expired. */
-  private void consider(StoredObject stored) {
+  private void renewOrTakeOver(StoredObject stored) {
     LeaseRecord record = Json.read(key, stored.value(), LeaseRecord.class);
-    see(stored);
+    recordVersion(stored);
     long now = ticker.millis();
-    if (isOurs(record)) {
-      write(
+    if (isHeldHere(record)) {
+      writeRecord(
           new LeaseRecord(self, record.epoch(), durationMs, record.renewals() + 1),
           stored.version());
       return;
     }
-    if (now < forgottenUntilMs()) {
+    if (now < lostLeaseUntilMs()) {
       return;
     }
-    boolean expired = now - seenSinceMs >= record.durationMs() * DRIFT_MARGIN;
+    boolean expired = now - versionSeenAtMs >= record.durationMs() * DRIFT_FACTOR;
     if (record.holder().isEmpty() || expired) {
-      long previousUntilMs = seenSinceMs + (record.holder().isEmpty() ? 0 : longestHoldMs(record));
-      write(new LeaseRecord(self, nextEpoch(record.epoch()), durationMs, 0), stored.version());
-      beforeUntilMs = Math.max(previousUntilMs, forgottenUntilMs());
+      long previousUntilMs = versionSeenAtMs + (record.holder().isEmpty() ? 0 : maxHoldMs(record));
+      writeRecord(
+          new LeaseRecord(self, nextEpoch(record.epoch()), durationMs, 0), stored.version());
+      previousHolderUntilMs = Math.max(previousUntilMs, lostLeaseUntilMs());
     }
   }
 
   /** Returns how long, by this clock, the holder may rely on a renewal that was just seen. */
-  private static long longestHoldMs(LeaseRecord record) {
-    return (long) (record.durationMs() * HOLD_SHARE * DRIFT_MARGIN);
+  private static long maxHoldMs(LeaseRecord record) {
+    return (long) (record.durationMs() * HOLD_SHARE * DRIFT_FACTOR);
   }
 
   /**
@@ -207,16 +210,16 @@
    * only while the lease is held: after it expired, or after a restart of this VM, the lease is
    * acquired with a new epoch as by any other process.
    */
-  private boolean isOurs(LeaseRecord record) {
+  private boolean isHeldHere(LeaseRecord record) {
     return record.holder().equals(self) && record.epoch() == epoch && ticker.millis() < holdUntilMs;
   }
 
   /** Writes the record; if that succeeds, the lease is held from the time of sending. */
-  private void write(LeaseRecord record, long expectedVersion) {
+  private void writeRecord(LeaseRecord record, long expectedVersion) {
     long sentMs = ticker.millis();
     StoredObject written = api.write(CallClass.LEASE, key, Json.write(record), expectedVersion);
-    seenVersion = written.version();
-    seenSinceMs = sentMs;
+    lastSeenVersion = written.version();
+    versionSeenAtMs = sentMs;
     epoch = record.epoch();
     holdUntilMs = sentMs + (long) (durationMs * HOLD_SHARE);
   }
@@ -229,7 +232,10 @@
     holdUntilMs = Long.MIN_VALUE;
     try {
       api.write(
-          CallClass.LEASE, key, Json.write(new LeaseRecord("", epoch, durationMs, 0)), seenVersion);
+          CallClass.LEASE,
+          key,
+          Json.write(new LeaseRecord("", epoch, durationMs, 0)),
+          lastSeenVersion);
     } catch (PlatformException e) {
       // The lease expires on its own.
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/RestNews.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/BackoffReport.java
@@ -19,7 +19,7 @@
  * Reports that a backend server asked a VM for a backoff.
  *
  * @param server hash of the server's incarnation
- * @param leftMs remaining time of the backoff in milliseconds
+ * @param remainingMs remaining time of the backoff in milliseconds
  * @param agoMs milliseconds since the server asked for it
  */
-public record RestNews(long server, long leftMs, long agoMs) {}
+public record BackoffReport(long server, long remainingMs, long agoMs) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/FeedNews.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/FeedReport.java
@@ -24,4 +24,4 @@
  * @param ageMs upper bound of the time since the Object API confirmed that there are no further
  *     changes
  */
-public record FeedNews(String prefix, long revision, long changedRevision, long ageMs) {}
+public record FeedReport(String prefix, long revision, long changedRevision, long ageMs) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/FleetTallies.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/FleetTallies.java
@@ -23,13 +23,13 @@
 import java.util.function.Supplier;
 import org.jspecify.annotations.Nullable;
 import org.landingtrack.internal.base.Ticker;
-import org.landingtrack.internal.loads.LoadNews.Kind;
+import org.landingtrack.internal.loads.GossipMessage.Kind;
 
 /**
  * Sums the counters of one topic over all VMs. The counters travel in gossip messages from a VM to
  * its hub, between hubs, and from a hub to its VMs, as in {@link PeerLoads}. A sum is two or three
  * rounds old and lacks VMs whose messages do not arrive. Sums are computed on demand. A message
- * carries at most {@link TallyTopic#mostKeys} keys, ten times a second, with 9 bytes a key and 1 to
+ * carries at most {@link TallyTopic#maxKeys} keys, ten times a second, with 9 bytes a key and 1 to
  * 9 bytes a count, whatever the number of VMs. Not thread-safe.
  */
 public final class FleetTallies {
@@ -39,7 +39,7 @@
   private final Supplier<List<Tally>> own;
   private final Map<String, Report> reports = new HashMap<>();
   private Map<Long, Tally> others = Map.of();
-  private Map<Long, Tally> told = Map.of();
+  private Map<Long, Tally> reported = Map.of();
   private boolean outdated;
   private long summedAtMs;
 
@@ -62,29 +62,29 @@
   /**
    * Applies the latest message of a VM. A topic that the message lacks has no tallies at that VM.
    */
-  public static void heard(LoadNews message, List<FleetTallies> topics) {
+  public static void receive(GossipMessage message, List<FleetTallies> topics) {
     for (FleetTallies each : topics) {
       List<Tally> tallies = List.of();
-      for (TallyNews report : message.tallies()) {
+      for (TallyReport report : message.tallies()) {
         tallies = report.topic() == each.topic ? report.tallies() : tallies;
       }
-      each.heard(message.sender().address(), message.kind(), tallies);
+      each.receive(message.sender().address(), message.kind(), tallies);
     }
   }
 
   /** Returns the tallies of several topics for a message of a kind. */
-  public static List<TallyNews> news(Kind kind, List<FleetTallies> topics) {
-    List<TallyNews> created = new ArrayList<>();
+  public static List<TallyReport> createReports(Kind kind, List<FleetTallies> topics) {
+    List<TallyReport> created = new ArrayList<>();
     for (FleetTallies each : topics) {
-      List<Tally> tallies = each.news(kind);
+      List<Tally> tallies = each.createReports(kind);
       if (!tallies.isEmpty()) {
-        created.add(new TallyNews(each.topic, tallies));
+        created.add(new TallyReport(each.topic, tallies));
       }
     }
     return created;
   }
 
-  private void heard(String sender, Kind kind, List<Tally> tallies) {
+  private void receive(String sender, Kind kind, List<Tally> tallies) {
     long now = ticker.millis();
     reports.values().removeIf(report -> !peers.isFresh(report.atMs));
     if (!tallies.isEmpty() || reports.containsKey(sender)) {
@@ -93,11 +93,11 @@
     }
   }
 
-  private List<Tally> news(Kind kind) {
+  private List<Tally> createReports(Kind kind) {
     List<Tally> counted = own.get();
     if (kind == Kind.OWN) {
       List<Tally> sent = largest(counted);
-      told = add(new HashMap<>(), sent);
+      reported = add(new HashMap<>(), sent);
       outdated = true;
       return sent;
     }
@@ -112,17 +112,17 @@
   }
 
   private List<Tally> largest(List<Tally> tallies) {
-    if (tallies.size() <= topic.mostKeys()) {
+    if (tallies.size() <= topic.maxKeys()) {
       return tallies;
     }
     List<Tally> sorted = new ArrayList<>(tallies);
     sorted.sort(Comparator.comparingLong((Tally tally) -> tally.count(0)).reversed());
-    return sorted.subList(0, topic.mostKeys());
+    return sorted.subList(0, topic.maxKeys());
   }
 
   /** Returns the sum of the other VMs for a key. */
   public Tally others(long key) {
-    return others().getOrDefault(key, Tally.nothing(key));
+    return others().getOrDefault(key, Tally.empty(key));
   }
 
   /** Returns the sums of the other VMs by key. */
@@ -153,13 +153,13 @@
         add(sum, report.tallies);
       }
     }
-    return latest == null || peers.isHub() ? sum : withoutOwn(latest);
+    return latest == null || peers.isHub() ? sum : minusOwn(latest);
   }
 
-  private Map<Long, Tally> withoutOwn(Report all) {
+  private Map<Long, Tally> minusOwn(Report all) {
     Map<Long, Tally> sum = add(new HashMap<>(), all.tallies);
-    for (Tally tally : told.values()) {
-      sum.computeIfPresent(tally.key(), (key, sumOfKey) -> sumOfKey.without(tally));
+    for (Tally tally : reported.values()) {
+      sum.computeIfPresent(tally.key(), (key, sumOfKey) -> sumOfKey.minus(tally));
     }
     return sum;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/LoadExchange.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/GossipExchange.java
@@ -28,11 +28,11 @@
 import java.util.concurrent.Executor;
 import java.util.function.Supplier;
 import org.landingtrack.internal.base.Addresses;
-import org.landingtrack.internal.base.Duty;
-import org.landingtrack.internal.loads.LoadNews.Kind;
-import org.landingtrack.internal.loads.LoadNews.Load;
-import org.landingtrack.internal.loads.LoadNews.Sighting;
-import org.landingtrack.internal.loads.PeerLoads.Mail;
+import org.landingtrack.internal.base.BoundedWorker;
+import org.landingtrack.internal.loads.GossipMessage.Kind;
+import org.landingtrack.internal.loads.GossipMessage.Load;
+import org.landingtrack.internal.loads.GossipMessage.Sighting;
+import org.landingtrack.internal.loads.PeerLoads.DueMessage;
 import org.landingtrack.internal.quarantine.Quarantine;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -42,14 +42,14 @@
  * everything else that VMs share. Messages are received on a thread of its own and applied on the
  * event loop.
  */
-public final class LoadExchange implements AutoCloseable {
+public final class GossipExchange implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("loads");
 
   /**
    * Largest payload of a UDP datagram. A hub's message about a dozen part stores with many changes
    * has about 20 kB.
    */
-  private static final int MAX_BYTES = 65_507;
+  private static final int MAX_DATAGRAM_BYTES = 65_507;
 
   /**
    * Largest number of servers in one message. They take 2.4 kB, ten times a second, which is the
@@ -65,11 +65,11 @@
 
   private final PeerLoads peers;
   private final Supplier<List<Load>> own;
-  private final StoreNewsBoard stores;
-  private final FeedNewsExchange feeds;
+  private final PartStoreReportHandler stores;
+  private final FeedReportHandler feeds;
   private final Quarantine quarantine;
-  private final Board<LimitNews> limits;
-  private final Board<RestNews> rests;
+  private final ReportHandler<LimitReport> limits;
+  private final ReportHandler<BackoffReport> backoffs;
   private final List<FleetTallies> tallies;
   private final Executor loop;
   private final DatagramSocket socket;
@@ -83,29 +83,29 @@
   private volatile boolean closed;
 
   /** Supplies and receives reports about part stores. Called on the event loop. */
-  public interface StoreNewsBoard {
+  public interface PartStoreReportHandler {
     /**
      * Returns the reports that were new when the round began.
      *
      * @param kind the kind of the message; other hubs get only reports of stores that this VM polls
      *     itself
      */
-    List<StoreNews> news(Kind kind);
+    List<PartStoreReport> reportsToSend(Kind kind);
 
     /** Begins a round. Reports that arrive from now on are sent in the next one. */
     void nextRound();
 
     /** Applies a report of another VM. */
-    void heard(StoreNews report);
+    void receiveReport(PartStoreReport report);
   }
 
   /** Supplies and receives the progress of reading the Object API. Called on the event loop. */
-  public interface FeedNewsExchange {
+  public interface FeedReportHandler {
     /** Returns the progress of this VM, for each kind of objects that it reads itself. */
-    List<FeedNews> news();
+    List<FeedReport> reportsToSend();
 
     /** Applies the reports of a hub. */
-    void heard(String hub, List<FeedNews> reports);
+    void receiveReports(String hub, List<FeedReport> reports);
   }
 
   /**
@@ -113,12 +113,12 @@
    *
    * @param <N> the type of report
    */
-  public interface Board<N> {
+  public interface ReportHandler<N> {
     /** Returns the recent reports of this VM, from servers or from other VMs. */
-    List<N> news();
+    List<N> reportsToSend();
 
     /** Applies the reports of another VM. */
-    void heard(List<N> reports);
+    void receiveReports(List<N> reports);
   }
 
   /**
@@ -135,21 +135,21 @@
    * @param loop the event loop; runs everything that uses the other parameters
    * @throws IOException if the address cannot be bound
    */
-  public LoadExchange(
+  public GossipExchange(
       PeerLoads peers,
       Supplier<List<Load>> own,
-      StoreNewsBoard stores,
-      FeedNewsExchange feeds,
+      PartStoreReportHandler stores,
+      FeedReportHandler feeds,
       Quarantine quarantine,
-      Board<LimitNews> limits,
-      Board<RestNews> serverBackoffs,
+      ReportHandler<LimitReport> limits,
+      ReportHandler<BackoffReport> serverBackoffs,
       List<FleetTallies> tallies,
       Executor loop)
       throws IOException {
     this.feeds = feeds;
     this.quarantine = quarantine;
     this.limits = limits;
-    this.rests = serverBackoffs;
+    this.backoffs = serverBackoffs;
     this.tallies = List.copyOf(tallies);
     this.peers = peers;
     this.own = own;
@@ -161,17 +161,17 @@
 
   /** Starts the thread that receives messages. */
   public void start() {
-    Duty.daemon("loads").newThread(this::hear).start();
+    BoundedWorker.daemonThreadFactory("loads").newThread(this::receiveLoop).start();
   }
 
-  private void hear() {
-    byte[] buffer = new byte[MAX_BYTES];
+  private void receiveLoop() {
+    byte[] buffer = new byte[MAX_DATAGRAM_BYTES];
     while (!closed) {
       DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
       try {
         socket.receive(packet);
-        LoadNews message = LoadNewsCodec.decode(buffer, packet.getLength());
-        loop.execute(() -> take(message));
+        GossipMessage message = GossipCodec.decode(buffer, packet.getLength());
+        loop.execute(() -> apply(message));
       } catch (IOException e) {
         if (!closed) {
           log.debug("Cannot receive or decode a gossip message: {}.", e.toString());
@@ -180,21 +180,21 @@
     }
   }
 
-  private void take(LoadNews message) {
-    boolean isLatest = peers.heard(message);
-    message.stores().forEach(stores::heard);
-    quarantine.heard(message.suspects());
-    limits.heard(message.limits());
-    rests.heard(message.rests());
+  private void apply(GossipMessage message) {
+    boolean isLatest = peers.receive(message);
+    message.stores().forEach(stores::receiveReport);
+    quarantine.receive(message.suspects());
+    limits.receiveReports(message.limits());
+    backoffs.receiveReports(message.backoffs());
     if (isLatest) {
-      feeds.heard(message.sender().address(), message.feeds());
-      FleetTallies.heard(message, tallies);
+      feeds.receiveReports(message.sender().address(), message.feeds());
+      FleetTallies.receive(message, tallies);
     }
   }
 
   /** Sends the messages of one round. Has to be called on the event loop. */
-  public void tell() {
-    List<Mail> due = peers.nextRound();
+  public void sendRound() {
+    List<DueMessage> due = peers.nextRound();
     stores.nextRound();
     if (due.isEmpty()) {
       return;
@@ -204,7 +204,7 @@
     List<Sighting> sightings = peers.sightings();
     sequence++;
     Map<Kind, byte[]> byKind = new EnumMap<>(Kind.class);
-    for (Mail message : due) {
+    for (DueMessage message : due) {
       byte[] bytes = byKind.computeIfAbsent(message.kind(), kind -> encode(kind, loads, sightings));
       send(message.receiver(), bytes);
     }
@@ -213,21 +213,21 @@
   /** Encodes the message of a kind, which is the same for all its receivers. */
   private byte[] encode(Kind kind, List<Load> own, List<Sighting> sightings) {
     List<Load> counted = peers.loadsFor(kind, own);
-    List<Load> reported = heaviest(counted);
+    List<Load> reported = largest(counted);
     try {
-      return LoadNewsCodec.encode(
-          new LoadNews(
+      return GossipCodec.encode(
+          new GossipMessage(
               peers.self(),
               sequence,
               kind,
               sightings,
               reported,
-              stores.news(kind),
-              kind == Kind.ALL ? feeds.news() : List.of(),
-              quarantine.news(),
-              limits.news(),
-              rests.news(),
-              FleetTallies.news(kind, tallies)));
+              stores.reportsToSend(kind),
+              kind == Kind.ALL ? feeds.reportsToSend() : List.of(),
+              quarantine.currentReports(),
+              limits.reportsToSend(),
+              backoffs.reportsToSend(),
+              FleetTallies.createReports(kind, tallies)));
     } catch (IOException e) {
       throw new IllegalStateException("the gossip message of this round cannot be encoded", e);
     }
@@ -237,19 +237,19 @@
    * Returns the loads to report if not all fit in a message. A server that is left out counts as
    * idle, so the servers with the least load are left out.
    */
-  static List<Load> heaviest(List<Load> loads) {
+  static List<Load> largest(List<Load> loads) {
     if (loads.size() <= MAX_LOADS) {
       return loads;
     }
     List<Load> sorted = new ArrayList<>(loads);
-    sorted.sort(Comparator.comparingLong(LoadExchange::weight).reversed());
+    sorted.sort(Comparator.comparingLong(GossipExchange::weight).reversed());
     return sorted.subList(0, MAX_LOADS);
   }
 
   private static long weight(Load load) {
-    return load.heldTokens()
+    return load.memoryTokensInUse()
         + load.pendingTokens()
-        + load.movingMs()
+        + load.transferMs()
         + load.running()
         + load.limitedSends() * LIMITED_WEIGHT;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/LoadNews.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/GossipMessage.java
@@ -16,7 +16,7 @@
 package org.landingtrack.internal.loads;
 
 import java.util.List;
-import org.landingtrack.internal.quarantine.SuspectNews;
+import org.landingtrack.internal.quarantine.SuspectReport;
 
 /**
  * Gossip message from one VM to another in one datagram, encoded as MessagePack arrays without
@@ -25,34 +25,34 @@
  * @param sender the VM that sends the message
  * @param sequence increases with each message of the sender
  * @param kind whose requests {@code loads} counts
- * @param seen some of the VMs that were active recently
+ * @param sightings some of the VMs that were active recently
  * @param loads requests in flight, for the servers that have any
  * @param stores reports about part stores
  * @param feeds the sender's progress in reading the Object API itself; only from hubs
  * @param suspects requests that were in flight at servers that crashed
  * @param limits rate limits that servers stated recently
- * @param rests recent backoffs that servers asked for
+ * @param backoffs recent backoffs that servers asked for
  * @param tallies counters that VMs share
  */
-public record LoadNews(
+public record GossipMessage(
     Vm sender,
     long sequence,
     Kind kind,
-    List<Sighting> seen,
+    List<Sighting> sightings,
     List<Load> loads,
-    List<StoreNews> stores,
-    List<FeedNews> feeds,
-    List<SuspectNews> suspects,
-    List<LimitNews> limits,
-    List<RestNews> rests,
-    List<TallyNews> tallies) {
-  public LoadNews {
+    List<PartStoreReport> stores,
+    List<FeedReport> feeds,
+    List<SuspectReport> suspects,
+    List<LimitReport> limits,
+    List<BackoffReport> backoffs,
+    List<TallyReport> tallies) {
+  public GossipMessage {
     tallies = List.copyOf(tallies);
-    rests = List.copyOf(rests);
+    backoffs = List.copyOf(backoffs);
     limits = List.copyOf(limits);
     suspects = List.copyOf(suspects);
     feeds = List.copyOf(feeds);
-    seen = List.copyOf(seen);
+    sightings = List.copyOf(sightings);
     loads = List.copyOf(loads);
     stores = List.copyOf(stores);
   }
@@ -60,13 +60,13 @@
   /**
    * Creates a message without Object API progress, suspects, server limits, backoffs and tallies.
    */
-  public LoadNews(
+  public GossipMessage(
       Vm sender,
       long sequence,
       Kind kind,
       List<Sighting> seen,
       List<Load> loads,
-      List<StoreNews> stores) {
+      List<PartStoreReport> stores) {
     this(
         sender, sequence, kind, seen, loads, stores, List.of(), List.of(), List.of(), List.of(),
         List.of());
@@ -114,16 +114,16 @@
    * @param server hash of the id of the server's incarnation, or of the part store's address
    * @param pendingTokens prompt tokens that the server has yet to prefill
    * @param running requests in flight; at a part store, transfers
-   * @param movingMs how long pending transfers keep the link of the server or store busy
-   * @param heldTokens tokens of the server's memory that requests in flight need
+   * @param transferMs how long pending transfers keep the link of the server or store busy
+   * @param memoryTokensInUse tokens of the server's memory that requests in flight need
    * @param limitedSends requests sent to the server recently, if it has a rate limit
    */
   public record Load(
       long server,
       long pendingTokens,
       int running,
-      long movingMs,
-      long heldTokens,
+      long transferMs,
+      long memoryTokensInUse,
       int limitedSends) {
     /** Creates the load of a server without a rate limit. */
     public Load(long server, long pendingTokens, int running, long movingMs, long heldTokens) {
@@ -136,19 +136,19 @@
           server,
           pendingTokens + other.pendingTokens,
           running + other.running,
-          movingMs + other.movingMs,
-          heldTokens + other.heldTokens,
+          transferMs + other.transferMs,
+          memoryTokensInUse + other.memoryTokensInUse,
           limitedSends + other.limitedSends);
     }
 
     /** Returns this load minus another one, with no component below 0. */
-    Load without(Load other) {
+    Load minus(Load other) {
       return new Load(
           server,
           Math.max(0, pendingTokens - other.pendingTokens),
           Math.max(0, running - other.running),
-          Math.max(0, movingMs - other.movingMs),
-          Math.max(0, heldTokens - other.heldTokens),
+          Math.max(0, transferMs - other.transferMs),
+          Math.max(0, memoryTokensInUse - other.memoryTokensInUse),
           Math.max(0, limitedSends - other.limitedSends));
     }
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/LimitNews.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/LimitReport.java
@@ -23,12 +23,12 @@
  *     the limit was lifted
  * @param agoMs age of the statement in milliseconds
  */
-public record LimitNews(long server, double perSecond, long agoMs) {
+public record LimitReport(long server, double perSecond, long agoMs) {
   /** Value of {@link #perSecond} for a limit that was lifted. */
-  public static final double NONE = -1;
+  public static final double LIFTED = -1;
 
   /** Returns true if the limit was lifted. */
-  public boolean isOver() {
+  public boolean isLifted() {
     return perSecond < 0;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/StoreNews.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/PartStoreReport.java
@@ -22,23 +22,23 @@
  *
  * @param address address of the store
  * @param epoch identifies the store's incarnation
- * @param serversMs when the store answered, on the clock that all backend servers share
+ * @param serverClockMs when the store answered, on the clock that all backend servers share
  * @param from number of the change after which this report begins
  * @param next number of the store's last change
  * @param changes changes after {@code from} up to {@code next}; some may be missing
  */
-public record StoreNews(
-    String address, long epoch, long serversMs, long from, long next, List<Change> changes) {
-  public StoreNews {
+public record PartStoreReport(
+    String address, long epoch, long serverClockMs, long from, long next, List<Change> changes) {
+  public PartStoreReport {
     changes = List.copyOf(changes);
   }
 
   /**
    * A part that a store finished storing, or removed.
    *
-   * @param kept true if the part is now stored, false if it was removed
+   * @param stored true if the part is now stored, false if it was removed
    * @param key scope and part
    * @param tokens length of the part in tokens
    */
-  public record Change(boolean kept, String key, int tokens) {}
+  public record Change(boolean stored, String key, int tokens) {}
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/Tally.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/Tally.java
@@ -22,7 +22,7 @@
  * releases may send different numbers of counters; a missing counter is 0.
  */
 public final class Tally {
-  private static final long[] NOTHING = {};
+  private static final long[] NO_COUNTS = {};
 
   private final long key;
   private final long[] counts;
@@ -34,8 +34,8 @@
   }
 
   /** Returns a tally without counters. */
-  static Tally nothing(long key) {
-    return new Tally(key, NOTHING);
+  static Tally empty(long key) {
+    return new Tally(key, NO_COUNTS);
   }
 
   /** Returns the key, usually the hash of a name. */
@@ -63,7 +63,7 @@
   }
 
   /** Returns this tally minus another one, with no counter below 0. */
-  Tally without(Tally other) {
+  Tally minus(Tally other) {
     long[] difference = new long[counts.length];
     for (int i = 0; i < difference.length; i++) {
       difference[i] = Math.max(0, counts[i] - other.count(i));
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/TallyNews.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/TallyReport.java
@@ -18,8 +18,8 @@
 import java.util.List;
 
 /** Tallies of one topic in a gossip message. */
-public record TallyNews(TallyTopic topic, List<Tally> tallies) {
-  public TallyNews {
+public record TallyReport(TallyTopic topic, List<Tally> tallies) {
+  public TallyReport {
     tallies = List.copyOf(tallies);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/loads/TallyTopic.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/loads/TallyTopic.java
@@ -26,14 +26,14 @@
   /** Requests and retries of a service; the key is the hash of its name. */
   RETRIES(4, 64),
   /** Ended incarnations of backend servers; the key is the hash of the incarnation. */
-  ENDED_STARTS(5, 128);
+  ENDED_INCARNATIONS(5, 128);
 
   private final int code;
-  private final int mostKeys;
+  private final int maxKeys;
 
   TallyTopic(int code, int mostKeys) {
     this.code = code;
-    this.mostKeys = mostKeys;
+    this.maxKeys = mostKeys;
   }
 
   /** Returns the number of the topic in messages. */
@@ -45,8 +45,8 @@
    * Returns the largest number of keys in one message; the keys with the largest first counters are
    * sent.
    */
-  int mostKeys() {
-    return mostKeys;
+  int maxKeys() {
+    return maxKeys;
   }
 
   /** Returns the topic with a code, or null if this release does not know it. */
--- a/landingtrack/src/main/java/org/landingtrack/internal/membership/Member.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/membership/Member.java
@@ -32,10 +32,10 @@
     DEAD(2),
     LEFT(3);
 
-    private final int rank;
+    private final int precedence;
 
     State(int precedence) {
-      this.rank = precedence;
+      this.precedence = precedence;
     }
   }
 
@@ -57,6 +57,6 @@
     if (incarnation != known.incarnation) {
       return incarnation > known.incarnation;
     }
-    return state.rank > known.state.rank;
+    return state.precedence > known.state.precedence;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/membership/Membership.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/membership/Membership.java
@@ -39,27 +39,27 @@
  */
 public final class Membership {
   private static final int INDIRECT_PROBES = 3;
-  private static final int UPDATES_PER_PROBE = 8;
+  private static final int MAX_UPDATES_PER_PROBE = 8;
   private static final int SUSPICION_PERIODS = 4;
-  private static final int FORGET_PERIODS = 600;
-  private static final int RESCUE_EVERY_PERIODS = 10;
+  private static final int RETENTION_PERIODS = 600;
+  private static final int DEAD_PROBE_INTERVAL_PERIODS = 10;
 
   private final RandomGenerator random;
   private final long periodMs;
   private final Map<String, Member> members = new HashMap<>();
   private final Map<String, Long> changedAtMs = new HashMap<>();
-  private final Map<String, Integer> timesToSend = new HashMap<>();
-  private final List<String> round = new ArrayList<>();
-  private final Map<Long, Relay> relays = new HashMap<>();
+  private final Map<String, Integer> remainingTransmissions = new HashMap<>();
+  private final List<String> probeOrder = new ArrayList<>();
+  private final Map<Long, RelayedProbe> relayedProbes = new HashMap<>();
   private Member self;
   private long sequence;
   private long ticks;
   private String probedVm = "";
   private long probedSequence = -1;
-  private boolean answered = true;
+  private boolean probeAnswered = true;
 
   /** A probe on behalf of another member, to which the ACK is forwarded with its own number. */
-  private record Relay(String address, long sequence, long atMs) {}
+  private record RelayedProbe(String address, long sequence, long atMs) {}
 
   /**
    * Creates the protocol for one member.
@@ -93,7 +93,7 @@
   public void seed(Collection<Member> seeds, long nowMs) {
     for (Member seed : seeds) {
       if (!members.containsKey(seed.vm())) {
-        learn(seed, nowMs);
+        merge(seed, nowMs);
       }
     }
   }
@@ -104,15 +104,15 @@
     List<Outgoing> out = new ArrayList<>();
     concludeProbe(nowMs);
     expire(nowMs);
-    relays.values().removeIf(relay -> nowMs - relay.atMs > 2 * periodMs);
+    relayedProbes.values().removeIf(relay -> nowMs - relay.atMs > 2 * periodMs);
     Member next = nextToProbe();
     if (next == null) {
       return out;
     }
     probedVm = next.vm();
     probedSequence = ++sequence;
-    answered = false;
-    out.add(new Outgoing(next.address(), probe(Probe.Type.PING, probedSequence, "", next.vm())));
+    probeAnswered = false;
+    out.add(new Outgoing(next.address(), newProbe(Probe.Type.PING, probedSequence, "", next.vm())));
     return out;
   }
 
@@ -120,10 +120,10 @@
    * Runs the second half of a period: if the probed member has not answered, asks others to probe
    * it. Returns the datagrams to send.
    */
-  public List<Outgoing> halfTick() {
+  public List<Outgoing> requestIndirectProbes() {
     List<Outgoing> out = new ArrayList<>();
     Member target = members.get(probedVm);
-    if (answered || target == null) {
+    if (probeAnswered || target == null) {
       return out;
     }
     List<Member> proxies = new ArrayList<>();
@@ -137,7 +137,7 @@
       out.add(
           new Outgoing(
               proxy.address(),
-              probe(Probe.Type.PING_REQUEST, probedSequence, target.address(), proxy.vm())));
+              newProbe(Probe.Type.PING_REQUEST, probedSequence, target.address(), proxy.vm())));
     }
     return out;
   }
@@ -145,28 +145,29 @@
   /** Processes a received datagram and returns the datagrams to send. */
   public List<Outgoing> receive(Probe probe, long nowMs) {
     List<Outgoing> out = new ArrayList<>();
-    learn(probe.from(), nowMs);
+    merge(probe.from(), nowMs);
     for (Member update : probe.updates()) {
-      learn(update, nowMs);
+      merge(update, nowMs);
     }
     switch (probe.type()) {
       case PING ->
           out.add(
               new Outgoing(
                   probe.from().address(),
-                  probe(Probe.Type.ACK, probe.sequence(), "", probe.from().vm())));
+                  newProbe(Probe.Type.ACK, probe.sequence(), "", probe.from().vm())));
       case PING_REQUEST -> {
         long relaySequence = ++sequence;
-        relays.put(relaySequence, new Relay(probe.from().address(), probe.sequence(), nowMs));
-        out.add(new Outgoing(probe.target(), probe(Probe.Type.PING, relaySequence, "", "")));
+        relayedProbes.put(
+            relaySequence, new RelayedProbe(probe.from().address(), probe.sequence(), nowMs));
+        out.add(new Outgoing(probe.target(), newProbe(Probe.Type.PING, relaySequence, "", "")));
       }
       case ACK -> {
         if (probe.sequence() == probedSequence) {
-          answered = true;
+          probeAnswered = true;
         }
-        Relay relay = relays.remove(probe.sequence());
+        RelayedProbe relay = relayedProbes.remove(probe.sequence());
         if (relay != null) {
-          out.add(new Outgoing(relay.address, probe(Probe.Type.ACK, relay.sequence, "", "")));
+          out.add(new Outgoing(relay.address, newProbe(Probe.Type.ACK, relay.sequence, "", "")));
         }
       }
     }
@@ -180,9 +181,9 @@
     announce(self.vm());
     List<Outgoing> out = new ArrayList<>();
     for (Member member : members.values()) {
-      if (out.size() < UPDATES_PER_PROBE && member.state() == State.ALIVE) {
+      if (out.size() < MAX_UPDATES_PER_PROBE && member.state() == State.ALIVE) {
         out.add(
-            new Outgoing(member.address(), probe(Probe.Type.PING, ++sequence, "", member.vm())));
+            new Outgoing(member.address(), newProbe(Probe.Type.PING, ++sequence, "", member.vm())));
       }
     }
     return out;
@@ -190,7 +191,7 @@
 
   private void concludeProbe(long nowMs) {
     Member probed = members.get(probedVm);
-    if (!answered && probed != null && probed.state() == State.ALIVE) {
+    if (!probeAnswered && probed != null && probed.state() == State.ALIVE) {
       put(probed.with(State.SUSPECT, probed.incarnation()), nowMs);
     }
   }
@@ -200,15 +201,15 @@
       long age = nowMs - changedAtMs.getOrDefault(member.vm(), nowMs);
       if (member.state() == State.SUSPECT && age >= SUSPICION_PERIODS * periodMs) {
         put(member.with(State.DEAD, member.incarnation()), nowMs);
-      } else if (!member.isUsable() && age >= FORGET_PERIODS * periodMs) {
+      } else if (!member.isUsable() && age >= RETENTION_PERIODS * periodMs) {
         members.remove(member.vm());
         changedAtMs.remove(member.vm());
-        timesToSend.remove(member.vm());
+        remainingTransmissions.remove(member.vm());
       }
     }
   }
 
-  private void learn(Member update, long nowMs) {
+  private void merge(Member update, long nowMs) {
     if (update.vm().equals(self.vm())) {
       refute(update);
       return;
@@ -238,7 +239,7 @@
   /** Schedules an update to be sent 3 times the number of bits of the group size plus one. */
   private void announce(String vm) {
     int transmissions = 3 * (32 - Integer.numberOfLeadingZeros(members.size() + 1));
-    timesToSend.put(vm, transmissions);
+    remainingTransmissions.put(vm, transmissions);
   }
 
   /**
@@ -246,8 +247,8 @@
    * view, since the receiver may have recovered and only it can refute that, long after the update
    * about its death is no longer sent.
    */
-  private Probe probe(Probe.Type type, long number, String target, String receiver) {
-    List<Member> updates = updates();
+  private Probe newProbe(Probe.Type type, long number, String target, String receiver) {
+    List<Member> updates = nextUpdates();
     Member view = members.get(receiver);
     if (view != null && view.state() != State.ALIVE && !updates.contains(view)) {
       updates.add(view);
@@ -256,21 +257,22 @@
   }
 
   /** Selects the updates to piggyback, those with the most transmissions left first. */
-  private List<Member> updates() {
-    List<String> names = new ArrayList<>(timesToSend.keySet());
+  private List<Member> nextUpdates() {
+    List<String> names = new ArrayList<>(remainingTransmissions.keySet());
     names.sort(
-        Comparator.comparingInt((String vm) -> -timesToSend.getOrDefault(vm, 0))
+        Comparator.comparingInt((String vm) -> -remainingTransmissions.getOrDefault(vm, 0))
             .thenComparing(Comparator.naturalOrder()));
     List<Member> updates = new ArrayList<>();
     for (String vm : names) {
-      if (updates.size() == UPDATES_PER_PROBE) {
+      if (updates.size() == MAX_UPDATES_PER_PROBE) {
         break;
       }
       Member member = members.get(vm);
       if (member != null) {
         updates.add(member);
       }
-      timesToSend.computeIfPresent(vm, (key, remaining) -> remaining <= 1 ? null : remaining - 1);
+      remainingTransmissions.computeIfPresent(
+          vm, (key, remaining) -> remaining <= 1 ? null : remaining - 1);
     }
     return updates;
   }
@@ -280,7 +282,7 @@
    * so that the group merges again after a partition.
    */
   private @Nullable Member nextToProbe() {
-    if (ticks % RESCUE_EVERY_PERIODS == 0) {
+    if (ticks % DEAD_PROBE_INTERVAL_PERIODS == 0) {
       List<Member> deadMembers = new ArrayList<>();
       for (Member member : members.values()) {
         if (member.state() == State.DEAD) {
@@ -292,22 +294,22 @@
       }
     }
     while (true) {
-      if (round.isEmpty() && !refillRound()) {
+      if (probeOrder.isEmpty() && !refillProbeOrder()) {
         return null;
       }
-      Member next = members.get(round.remove(round.size() - 1));
+      Member next = members.get(probeOrder.remove(probeOrder.size() - 1));
       if (next != null && next.isUsable() && !next.vm().equals(self.vm())) {
         return next;
       }
     }
   }
 
-  private boolean refillRound() {
+  private boolean refillProbeOrder() {
     for (Member member : members.values()) {
       if (member.isUsable() && !member.vm().equals(self.vm())) {
-        round.add(random.nextInt(round.size() + 1), member.vm());
+        probeOrder.add(random.nextInt(probeOrder.size() + 1), member.vm());
       }
     }
-    return !round.isEmpty();
+    return !probeOrder.isEmpty();
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/membership/MembershipService.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/membership/MembershipService.java
@@ -25,7 +25,7 @@
 import org.landingtrack.ErrorKind;
 import org.landingtrack.LandingtrackException;
 import org.landingtrack.internal.base.Addresses;
-import org.landingtrack.internal.base.Duty;
+import org.landingtrack.internal.base.BoundedWorker;
 import org.landingtrack.internal.base.MessagePack;
 import org.landingtrack.internal.base.Ticker;
 import org.slf4j.Logger;
@@ -41,7 +41,7 @@
 
   private final Membership membership;
   private final DatagramSocket socket;
-  private final Duty duty;
+  private final BoundedWorker duty;
   private final Ticker ticker;
   private boolean secondHalf;
 
@@ -61,21 +61,21 @@
       throw new LandingtrackException(
           ErrorKind.INTERNAL, "cannot open probe port " + host + ":" + port, e);
     }
-    this.duty = Duty.start("membership", 1_024);
-    duty.every(Math.max(1, periodMs / 2), this::halfPeriod);
-    Duty.daemon("membership-receive").newThread(this::receiveAll).start();
+    this.duty = BoundedWorker.start("membership", 1_024);
+    duty.runPeriodically(Math.max(1, periodMs / 2), this::runHalfPeriod);
+    BoundedWorker.daemonThreadFactory("membership-receive").newThread(this::receiveLoop).start();
   }
 
-  private void halfPeriod() {
+  private void runHalfPeriod() {
     List<Probe.Outgoing> outgoing;
     synchronized (membership) {
-      outgoing = secondHalf ? membership.halfTick() : membership.tick(ticker.millis());
+      outgoing = secondHalf ? membership.requestIndirectProbes() : membership.tick(ticker.millis());
       secondHalf = !secondHalf;
     }
     sendAll(outgoing);
   }
 
-  private void receiveAll() {
+  private void receiveLoop() {
     byte[] buffer = new byte[MAX_DATAGRAM_BYTES];
     while (!socket.isClosed()) {
       try {
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/AuditTrail.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/AuditTrail.java
@@ -55,18 +55,18 @@
   /**
    * A list of changes, newest first.
    *
-   * @param whole false if only the last change of each object was available
+   * @param complete false if only the last change of each object was available
    */
-  record Page(List<Entry> entries, boolean whole) {}
+  record Page(List<Entry> entries, boolean complete) {}
 
   /**
    * Returns the latest changes of one object, {@code limit} at most. Falls back to the last change,
    * from the replica, if the object cannot be read from the Object API.
    */
-  Page of(Kind kind, String name, int limit) {
-    Optional<StoredEntry> stored = fromPlatform(kind, name);
+  Page changesOf(Kind kind, String name, int limit) {
+    Optional<StoredEntry> stored = readFromPlatform(kind, name);
     if (stored.isPresent()) {
-      return new Page(newest(entries(stored.get()), limit), true);
+      return new Page(newestFirst(entries(stored.get()), limit), true);
     }
     List<Entry> replicated = new ArrayList<>();
     replica.entry(kind, name).ifPresent(entry -> replicated.addAll(entries(decode(entry))));
@@ -82,7 +82,7 @@
         found.addAll(entries(stored));
       }
     }
-    return new Page(newest(found, limit), false);
+    return new Page(newestFirst(found, limit), false);
   }
 
   /** Describes an object and its changes in sentences; returns none if it never existed. */
@@ -98,11 +98,11 @@
         stored.spec() == null
             ? subject + " was deleted."
             : subject + " is at version " + stored.version() + ": " + stored.spec() + ".");
-    Page page = of(kind, name, StoredEntry.MAX_AUDIT);
+    Page page = changesOf(kind, name, StoredEntry.MAX_AUDIT_CHANGES);
     for (int i = page.entries().size() - 1; i >= 0; i--) {
       sentences.add(sentence(page.entries().get(i).change()));
     }
-    if (!page.whole()) {
+    if (!page.complete()) {
       sentences.add(
           "The platform did not return the audit trail; earlier changes are not known here.");
     }
@@ -120,7 +120,7 @@
         + ".";
   }
 
-  private Optional<StoredEntry> fromPlatform(Kind kind, String name) {
+  private Optional<StoredEntry> readFromPlatform(Kind kind, String name) {
     String key = StoredEntry.key(kind, name);
     try {
       Optional<StoredObject> stored = api.read(CallClass.STATUS, key);
@@ -142,7 +142,7 @@
     return entries;
   }
 
-  private static List<Entry> newest(List<Entry> entries, int limit) {
+  private static List<Entry> newestFirst(List<Entry> entries, int limit) {
     // The version orders changes of an object that have the same time in milliseconds.
     entries.sort(
         Comparator.comparingLong((Entry entry) -> entry.change().atMs())
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/CatalogWriter.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/CatalogWriter.java
@@ -45,14 +45,14 @@
  * with the same expected version, so that it takes effect at most once. Thread-safe.
  */
 public final class CatalogWriter {
-  private static final int MAX_TRIES = 8;
+  private static final int MAX_ATTEMPTS = 8;
   private static final long ANY_VERSION = -1;
 
   private final ObjectApi api;
   private final ConfigReplica replica;
   private final LongSupplier wallClock;
   private final RandomGenerator random;
-  private final long visibleWithinMs;
+  private final long visibilityTimeoutMs;
 
   /**
    * The outcome of a change, or of a dry run of one.
@@ -85,7 +85,7 @@
     this.replica = replica;
     this.wallClock = wallClock;
     this.random = random;
-    this.visibleWithinMs = visibilityTimeoutMs;
+    this.visibilityTimeoutMs = visibilityTimeoutMs;
   }
 
   /**
@@ -107,8 +107,8 @@
       boolean dryRun) {
     Spec spec = Json.read(kind.label() + "/" + name, specJson, kind.specType());
     catalog().checkWrite(kind, name, spec);
-    JsonNode after = tree(Json.write(spec));
-    return change(operator, kind, name, Optional.of(after), expectedVersion, dryRun);
+    JsonNode after = parseJson(Json.write(spec));
+    return applyChange(operator, kind, name, Optional.of(after), expectedVersion, dryRun);
   }
 
   /**
@@ -117,7 +117,7 @@
    */
   public Outcome delete(Operator operator, Kind kind, String name, long expectedVersion) {
     catalog().checkDelete(kind, name);
-    return change(operator, kind, name, Optional.empty(), expectedVersion, false);
+    return applyChange(operator, kind, name, Optional.empty(), expectedVersion, false);
   }
 
   private Catalog catalog() {
@@ -128,7 +128,7 @@
     return replica.catalog();
   }
 
-  private Outcome change(
+  private Outcome applyChange(
       Operator operator,
       Kind kind,
       String name,
@@ -136,7 +136,7 @@
       long expectedVersion,
       boolean dryRun) {
     String key = StoredEntry.key(kind, name);
-    Optional<StoredObject> stored = readOrRefuse(key);
+    Optional<StoredObject> stored = readOrFail(key);
     @Nullable StoredEntry current =
         stored.map(object -> Json.read(key, object.value(), StoredEntry.class)).orElse(null);
     @Nullable JsonNode before = current == null ? null : current.spec();
@@ -150,24 +150,24 @@
     if (unchanged || dryRun) {
       long revision = stored.map(StoredObject::revision).orElse(0L);
       return new Outcome(
-          currentVersion, revision, "", !unchanged, text(before), text(after.orElse(null)));
+          currentVersion, revision, "", !unchanged, toJson(before), toJson(after.orElse(null)));
     }
     Change change = newChange(operator, current, before, after);
     StoredEntry base = current == null ? new StoredEntry(kind, name, 0, null, List.of()) : current;
     StoredEntry next = base.withChange(change);
     long platformVersion = stored.map(StoredObject::version).orElse(ObjectApi.ABSENT);
-    StoredObject written = writeSettled(key, next, change.changeId(), platformVersion);
+    StoredObject written = writeUntilConfirmed(key, next, change.changeId(), platformVersion);
     awaitVisible(written.revision());
     return new Outcome(
         change.version(),
         written.revision(),
         change.changeId(),
         true,
-        text(before),
-        text(after.orElse(null)));
+        toJson(before),
+        toJson(after.orElse(null)));
   }
 
-  private static String text(@Nullable JsonNode spec) {
+  private static String toJson(@Nullable JsonNode spec) {
     return spec == null ? "" : spec.toString();
   }
 
@@ -197,27 +197,27 @@
         UUID.randomUUID().toString(),
         wallClock.getAsLong(),
         operator.name(),
-        operator.from(),
+        operator.address(),
         action,
         current == null ? 1 : current.version() + 1,
         before,
         after.orElse(null));
   }
 
-  private StoredObject writeSettled(
+  private StoredObject writeUntilConfirmed(
       String key, StoredEntry next, String changeId, long expectedVersion) {
     Backoff backoff = new Backoff(random, 20, 500);
     boolean mayHaveWritten = false;
-    for (int attempt = 0; attempt < MAX_TRIES; attempt++) {
+    for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       try {
         return api.write(CallClass.CONFIGURATION, key, Json.write(next), expectedVersion);
       } catch (PlatformException e) {
         if (e.reason() == PlatformException.Reason.CONFLICT) {
-          return ownWriteOrConflict(key, changeId, mayHaveWritten);
+          return resolveConflict(key, changeId, mayHaveWritten);
         }
         mayHaveWritten |= e.reason() == PlatformException.Reason.OUTCOME_UNKNOWN;
       }
-      pause(backoff.nextMs());
+      sleep(backoff.nextMs());
     }
     if (mayHaveWritten) {
       throw new LandingtrackException(
@@ -233,11 +233,12 @@
    * Returns the stored object if the conflict comes from an earlier attempt at the same change
    * whose answer was lost; throws VERSION_CONFLICT otherwise.
    */
-  private StoredObject ownWriteOrConflict(String key, String changeId, boolean mayHaveWritten) {
-    Optional<StoredObject> stored = mayHaveWritten ? readBack(key, changeId) : readOrRefuse(key);
+  private StoredObject resolveConflict(String key, String changeId, boolean mayHaveWritten) {
+    Optional<StoredObject> stored =
+        mayHaveWritten ? readAfterUnknownOutcome(key, changeId) : readOrFail(key);
     if (stored.isPresent()) {
       StoredEntry entry = Json.read(key, stored.get().value(), StoredEntry.class);
-      if (entry.holdsChange(changeId)) {
+      if (entry.hasChange(changeId)) {
         return stored.get();
       }
       throw new LandingtrackException(
@@ -248,13 +249,13 @@
         ErrorKind.VERSION_CONFLICT, "another operator changed the object; read it again");
   }
 
-  private Optional<StoredObject> readBack(String key, String changeId) {
+  private Optional<StoredObject> readAfterUnknownOutcome(String key, String changeId) {
     Backoff backoff = new Backoff(random, 20, 500);
-    for (int attempt = 0; attempt < MAX_TRIES; attempt++) {
+    for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       try {
         return api.read(CallClass.CONFIGURATION, key);
       } catch (PlatformException e) {
-        pause(backoff.nextMs());
+        sleep(backoff.nextMs());
       }
     }
     throw new LandingtrackException(
@@ -262,7 +263,7 @@
         "the platform did not confirm change " + changeId + "; look for it in the audit trail");
   }
 
-  private Optional<StoredObject> readOrRefuse(String key) {
+  private Optional<StoredObject> readOrFail(String key) {
     try {
       return api.read(CallClass.CONFIGURATION, key);
     } catch (PlatformException e) {
@@ -278,7 +279,7 @@
    */
   private void awaitVisible(long revision) {
     try {
-      long end = System.nanoTime() + visibleWithinMs * 1_000_000;
+      long end = System.nanoTime() + visibilityTimeoutMs * 1_000_000;
       while (replica.revision() < revision && System.nanoTime() < end) {
         var unused = replica.awaitDeltaAfter(revision - 1, 100);
       }
@@ -287,7 +288,7 @@
     }
   }
 
-  private static void pause(long ms) {
+  private static void sleep(long ms) {
     try {
       Thread.sleep(ms);
     } catch (InterruptedException e) {
@@ -296,7 +297,7 @@
     }
   }
 
-  private static JsonNode tree(String json) {
+  private static JsonNode parseJson(String json) {
     try {
       return Json.STRICT.readTree(json);
     } catch (JsonProcessingException e) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/ExplainSource.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/ExplanationSource.java
@@ -19,7 +19,7 @@
 
 /** Finds the explanation of a request, on whichever controller stores it. */
 @FunctionalInterface
-public interface ExplainSource {
+public interface ExplanationSource {
   /** Returns the sentences of a request's explanation; none if no controller has it any more. */
   List<String> explain(String requestId);
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/Operator.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/Operator.java
@@ -18,7 +18,7 @@
 /**
  * The authenticated operator of a call.
  *
- * @param writer true if the operator may change the configuration
- * @param from remote address of the call
+ * @param canWrite true if the operator may change the configuration
+ * @param address remote address of the call
  */
-public record Operator(String name, boolean writer, String from) {}
+public record Operator(String name, boolean canWrite, String address) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/OperatorAuth.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/OperatorAuth.java
@@ -35,14 +35,14 @@
  * into the context of the call. Thread-safe.
  */
 final class OperatorAuth implements ServerInterceptor {
-  static final Context.Key<Operator> OPERATOR = Context.key("operator");
-  static final Metadata.Key<String> KEY =
+  static final Context.Key<Operator> OPERATOR_CONTEXT_KEY = Context.key("operator");
+  static final Metadata.Key<String> OPERATOR_KEY_METADATA =
       Metadata.Key.of("operator-key", Metadata.ASCII_STRING_MARSHALLER);
-  private static final String WRITER = "writer";
+  private static final String WRITER_ROLE = "writer";
 
-  private record Entry(String name, boolean writer) {}
+  private record KnownOperator(String name, boolean canWrite) {}
 
-  private final Map<String, Entry> byHash = new HashMap<>();
+  private final Map<String, KnownOperator> operatorsByKeyHash = new HashMap<>();
 
   /**
    * Creates an interceptor that accepts these operators.
@@ -53,18 +53,20 @@
   OperatorAuth(List<String> operators) {
     for (String operator : operators) {
       String[] fields = operator.split(":", -1);
-      byHash.put(fields[2], new Entry(fields[0], fields[1].equals(WRITER)));
+      operatorsByKeyHash.put(
+          fields[2], new KnownOperator(fields[0], fields[1].equals(WRITER_ROLE)));
     }
   }
 
   @Override
   public <Q, A> ServerCall.Listener<Q> interceptCall(
       ServerCall<Q, A> call, Metadata headers, ServerCallHandler<Q, A> next) {
-    @Nullable String key = headers.get(KEY);
-    @Nullable Entry knownOperator = key == null ? null : byHash.get(Hashes.sha256Hex(key));
+    @Nullable String key = headers.get(OPERATOR_KEY_METADATA);
+    @Nullable KnownOperator knownOperator =
+        key == null ? null : operatorsByKeyHash.get(Hashes.sha256Hex(key));
     if (knownOperator == null) {
       Metadata trailers = new Metadata();
-      trailers.put(OperatorErrors.KIND, ErrorKind.UNAUTHENTICATED.name());
+      trailers.put(OperatorErrors.KIND_METADATA, ErrorKind.UNAUTHENTICATED.name());
       call.close(
           Status.UNAUTHENTICATED.withDescription("the operator key is missing or not known"),
           trailers);
@@ -72,8 +74,8 @@
     }
     @Nullable Object address = call.getAttributes().get(Grpc.TRANSPORT_ATTR_REMOTE_ADDR);
     Operator operator =
-        new Operator(knownOperator.name, knownOperator.writer, String.valueOf(address));
-    Context context = Context.current().withValue(OPERATOR, operator);
+        new Operator(knownOperator.name, knownOperator.canWrite, String.valueOf(address));
+    Context context = Context.current().withValue(OPERATOR_CONTEXT_KEY, operator);
     return Contexts.interceptCall(context, call, headers, next);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/OperatorErrors.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/OperatorErrors.java
@@ -25,14 +25,14 @@
  * org.landingtrack.ErrorKind}; the kind itself is sent as the trailer {@code landingtrack-kind}.
  */
 final class OperatorErrors {
-  static final Metadata.Key<String> KIND =
+  static final Metadata.Key<String> KIND_METADATA =
       Metadata.Key.of("landingtrack-kind", Metadata.ASCII_STRING_MARSHALLER);
 
   private OperatorErrors() {}
 
-  static StatusRuntimeException of(LandingtrackException e) {
+  static StatusRuntimeException toStatusException(LandingtrackException e) {
     Metadata trailers = new Metadata();
-    trailers.put(KIND, e.kind().name());
+    trailers.put(KIND_METADATA, e.kind().name());
     Status status = Status.fromCode(Status.Code.valueOf(e.kind().grpcCode()));
     return status.withDescription(e.getMessage()).asRuntimeException(trailers);
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/OperatorServer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/OperatorServer.java
@@ -27,8 +27,8 @@
 import java.util.concurrent.Executors;
 import org.landingtrack.ErrorKind;
 import org.landingtrack.LandingtrackException;
-import org.landingtrack.internal.base.Duty;
-import org.landingtrack.internal.tls.TlsIdentities;
+import org.landingtrack.internal.base.BoundedWorker;
+import org.landingtrack.internal.tls.ReloadableTlsIdentity;
 
 /** Serves the operators' gRPC interface on a TCP port. Thread-safe. */
 public final class OperatorServer implements AutoCloseable {
@@ -52,11 +52,13 @@
       int port,
       OperatorService service,
       List<String> operators,
-      Optional<TlsIdentities> tls) {
+      Optional<ReloadableTlsIdentity> tls) {
     try {
       NettyServerBuilder builder =
           NettyServerBuilder.forAddress(new InetSocketAddress(host, port))
-              .executor(Executors.newFixedThreadPool(THREADS, Duty.daemon("operator")))
+              .executor(
+                  Executors.newFixedThreadPool(
+                      THREADS, BoundedWorker.daemonThreadFactory("operator")))
               .addService(ServerInterceptors.intercept(service, new OperatorAuth(operators)));
       if (tls.isPresent()) {
         SslContextBuilder ssl = SslContextBuilder.forServer(tls.get().keyManager());
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/OperatorService.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/OperatorService.java
@@ -66,8 +66,8 @@
   private final ConfigReplica replica;
   private final MembershipService membership;
   private final BooleanSupplier platformReachable;
-  private final Rollouts rollouts;
-  private final ExplainSource explanations;
+  private final RolloutCounter rolloutCounter;
+  private final ExplanationSource explanationSource;
   private final AuditTrail audit;
 
   public OperatorService(
@@ -76,14 +76,14 @@
       ConfigReplica replica,
       MembershipService membership,
       BooleanSupplier platformReachable,
-      Rollouts rolloutCounter,
-      ExplainSource explanationSource) {
+      RolloutCounter rolloutCounter,
+      ExplanationSource explanationSource) {
     this.writer = writer;
     this.replica = replica;
     this.membership = membership;
     this.platformReachable = platformReachable;
-    this.rollouts = rolloutCounter;
-    this.explanations = explanationSource;
+    this.rolloutCounter = rolloutCounter;
+    this.explanationSource = explanationSource;
     this.audit = new AuditTrail(api, replica);
   }
 
@@ -93,23 +93,24 @@
       observer.onNext(reply);
       observer.onCompleted();
     } catch (LandingtrackException e) {
-      observer.onError(OperatorErrors.of(e));
+      observer.onError(OperatorErrors.toStatusException(e));
     } catch (RuntimeException e) {
       log.warn("An operator call failed with an unexpected error.", e);
       observer.onError(
-          OperatorErrors.of(new LandingtrackException(ErrorKind.INTERNAL, e.toString())));
+          OperatorErrors.toStatusException(
+              new LandingtrackException(ErrorKind.INTERNAL, e.toString())));
     }
   }
 
   private static Operator writer() {
-    Operator operator = OperatorAuth.OPERATOR.get();
-    if (operator == null || !operator.writer()) {
+    Operator operator = OperatorAuth.OPERATOR_CONTEXT_KEY.get();
+    if (operator == null || !operator.canWrite()) {
       throw new LandingtrackException(ErrorKind.FORBIDDEN, "this call needs the writer role");
     }
     return operator;
   }
 
-  private static Kind kind(String label) {
+  private static Kind parseKind(String label) {
     return Kind.ofLabel(label)
         .orElseThrow(
             () ->
@@ -121,7 +122,7 @@
                         + " rule"));
   }
 
-  private static int limit(int requested) {
+  private static int checkLimit(int requested) {
     if (requested < 0 || requested > MAX_LIMIT) {
       throw new LandingtrackException(
           ErrorKind.BAD_REQUEST,
@@ -140,12 +141,12 @@
           CatalogWriter.Outcome outcome =
               writer.put(
                   operator,
-                  kind(object.getKind()),
+                  parseKind(object.getKind()),
                   object.getName(),
                   object.getSpecJson(),
                   request.getExpectedVersion(),
                   request.getDryRun());
-          return reply(operator, object.getKind() + "/" + object.getName(), outcome);
+          return toPutReply(operator, object.getKind() + "/" + object.getName(), outcome);
         });
   }
 
@@ -158,14 +159,15 @@
           CatalogWriter.Outcome outcome =
               writer.delete(
                   operator,
-                  kind(request.getKind()),
+                  parseKind(request.getKind()),
                   request.getName(),
                   request.getExpectedVersion());
-          return reply(operator, request.getKind() + "/" + request.getName(), outcome);
+          return toPutReply(operator, request.getKind() + "/" + request.getName(), outcome);
         });
   }
 
-  private static PutReply reply(Operator operator, String subject, CatalogWriter.Outcome outcome) {
+  private static PutReply toPutReply(
+      Operator operator, String subject, CatalogWriter.Outcome outcome) {
     if (!outcome.changeId().isEmpty()) {
       log.info(
           "Operator {} changed {} to version {} (change {}).",
@@ -189,7 +191,7 @@
     answer(
         observer,
         () -> {
-          Kind kind = kind(request.getKind());
+          Kind kind = parseKind(request.getKind());
           Spec spec =
               replica
                   .catalog()
@@ -199,11 +201,11 @@
                           new LandingtrackException(
                               ErrorKind.NOT_FOUND,
                               request.getKind() + "/" + request.getName() + " does not exist"));
-          return object(kind, request.getName(), spec);
+          return toCatalogObject(kind, request.getName(), spec);
         });
   }
 
-  private CatalogObject object(Kind kind, String name, Spec spec) {
+  private CatalogObject toCatalogObject(Kind kind, String name, Spec spec) {
     CatalogObject.Builder builder =
         CatalogObject.newBuilder()
             .setKind(kind.label())
@@ -225,8 +227,8 @@
     answer(
         observer,
         () -> {
-          Kind kind = kind(request.getKind());
-          int limit = limit(request.getLimit());
+          Kind kind = parseKind(request.getKind());
+          int limit = checkLimit(request.getLimit());
           ListReply.Builder reply = ListReply.newBuilder();
           String last = "";
           Catalog catalog = replica.catalog();
@@ -239,7 +241,7 @@
               break;
             }
             last = entry.getKey();
-            reply.addObjects(object(kind, entry.getKey(), entry.getValue()));
+            reply.addObjects(toCatalogObject(kind, entry.getKey(), entry.getValue()));
           }
           return reply.build();
         });
@@ -274,7 +276,7 @@
     answer(
         observer,
         () -> {
-          Rollouts.Count count = rollouts.count(request.getRevision());
+          RolloutCounter.Count count = rolloutCounter.count(request.getRevision());
           return RolloutReply.newBuilder()
               .setInForce(count.inForce())
               .setLive(count.live())
@@ -289,7 +291,7 @@
         () -> {
           String subject = request.getSubject();
           List<String> sentences =
-              subject.contains("/") ? explainObject(subject) : explanations.explain(subject);
+              subject.contains("/") ? explainObject(subject) : explanationSource.explain(subject);
           return ExplainReply.newBuilder()
               .setKnown(!sentences.isEmpty())
               .addAllSentences(sentences)
@@ -299,7 +301,7 @@
 
   private List<String> explainObject(String subject) {
     int slash = subject.indexOf('/');
-    return audit.explain(kind(subject.substring(0, slash)), subject.substring(slash + 1));
+    return audit.explain(parseKind(subject.substring(0, slash)), subject.substring(slash + 1));
   }
 
   @Override
@@ -307,25 +309,25 @@
     answer(
         observer,
         () -> {
-          AuditTrail.Page page = page(request);
-          AuditReply.Builder reply = AuditReply.newBuilder().setWhole(page.whole());
-          page.entries().forEach(entry -> reply.addEntries(auditEntry(entry)));
+          AuditTrail.Page page = findChanges(request);
+          AuditReply.Builder reply = AuditReply.newBuilder().setWhole(page.complete());
+          page.entries().forEach(entry -> reply.addEntries(toAuditEntry(entry)));
           return reply.build();
         });
   }
 
-  private AuditTrail.Page page(AuditRequest request) {
-    int limit = limit(request.getLimit());
+  private AuditTrail.Page findChanges(AuditRequest request) {
+    int limit = checkLimit(request.getLimit());
     if (request.getKind().isEmpty()) {
       return audit.lastChanges(Optional.empty(), limit);
     }
-    Kind kind = kind(request.getKind());
+    Kind kind = parseKind(request.getKind());
     return request.getName().isEmpty()
         ? audit.lastChanges(Optional.of(kind), limit)
-        : audit.of(kind, request.getName(), limit);
+        : audit.changesOf(kind, request.getName(), limit);
   }
 
-  private static AuditEntry auditEntry(AuditTrail.Entry entry) {
+  private static AuditEntry toAuditEntry(AuditTrail.Entry entry) {
     StoredEntry.Change change = entry.change();
     return AuditEntry.newBuilder()
         .setChangeId(change.changeId())
--- a/landingtrack/src/main/java/org/landingtrack/internal/operator/Rollouts.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/operator/RolloutCounter.java
@@ -17,7 +17,7 @@
 
 /** Counts the processes in which a revision of the configuration is in force. */
 @FunctionalInterface
-public interface Rollouts {
+public interface RolloutCounter {
   /** Asks all live controllers about their own revision and those of their gateways. */
   Count count(long revision);
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/Verdict.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/AdmissionDecision.java
@@ -19,12 +19,12 @@
  * The decision of admission control on a request.
  *
  * @param cause why it is refused; {@link Cause#NONE} if it is admitted
- * @param why the cause with the values that decided, for the log
+ * @param reason the cause with the values that decided, for the log
  * @param retryAfterMs when the caller should retry, in milliseconds; 0 if the request is admitted
  */
-public record Verdict(Cause cause, String why, long retryAfterMs) {
+public record AdmissionDecision(Cause cause, String reason, long retryAfterMs) {
   /** The request is admitted. */
-  public static final Verdict ADMITTED = new Verdict(Cause.NONE, "", 0);
+  public static final AdmissionDecision ADMITTED = new AdmissionDecision(Cause.NONE, "", 0);
 
   /** Why a request is refused. */
   public enum Cause {
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/AdmissionLevel.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/AdmissionLevel.java
@@ -31,80 +31,80 @@
    * of the target; with a shorter queue, servers would run out of work between two rounds of load
    * reports.
    */
-  private static final double LINE_SHARE = 0.25;
+  private static final double TARGET_WAIT_SHARE = 0.25;
 
-  private static final double LEAST_LINE_MS = 50;
+  private static final double MIN_TARGET_WAIT_MS = 50;
 
   /**
    * Requests are refused only if at least this share of the servers' capacity is in use. Below it,
    * the servers can take more.
    */
-  private static final double LEAST_TAKEN = 0.5;
+  private static final double MIN_OVERLOAD_UTILIZATION = 0.5;
 
   /**
    * No more requests are admitted at a queue wait of this share of the latency target, because they
    * would be answered late.
    */
-  private static final double LONGEST_LINE_SHARE = 0.6;
+  private static final double MAX_WAIT_SHARE = 0.6;
 
   /**
    * Time over which a queue below its target length is refilled: three times the age of the load
    * reports. With a shorter time the queue length would oscillate.
    */
-  private static final double SETTLE_MS = 900;
+  private static final double REFILL_MS = 900;
 
   /**
    * Each rank's target queue length assumes that more urgent ranks leave it at least this share of
    * the servers' capacity.
    */
-  private static final double LEAST_FREE = 0.1;
+  private static final double MIN_FREE_SHARE = 0.1;
 
   /**
    * Share of the usual target queue length that is used while late requests wait. Late requests are
    * queued behind all others, so they are served only if the queue before them is shorter.
    */
-  private static final double GOAL_SHARE_WITH_LATE = 0.25;
+  private static final double TARGET_SHARE_WITH_LATE = 0.25;
 
   /** The estimated capacity of servers that lack work doubles within about this time. */
-  private static final double GROW_MS = 1_000;
+  private static final double CAPACITY_DOUBLING_MS = 1_000;
 
-  private static final long LONGEST_STEP_MS = 200;
+  private static final long MAX_STEP_MS = 200;
 
   /**
    * Upper bound of the estimated capacity, as a multiple of the rate at which servers are seen to
    * start requests.
    */
-  private static final double MOST_UNTRIED = 2;
+  private static final double MAX_CAPACITY_FACTOR = 2;
 
   /** Late requests get the capacity to be answered within this time, well before most deadlines. */
-  private static final double SETTLE_LATE_MS = 4_000;
+  private static final double LATE_DRAIN_MS = 4_000;
 
   /**
    * All demand must fit for this time before an overload ends. Longer than load reports take to
    * arrive.
    */
-  private static final long CALM_MS = 300;
+  private static final long RECOVERY_MS = 300;
 
   /** An overload ends once the queue wait is below this share of the wait that starts one. */
-  private static final double CALM_LINE_SHARE = 0.5;
+  private static final double RECOVERY_WAIT_SHARE = 0.5;
 
   /**
    * Each rank is admitted at least at this share of the average over all requests, so that the
    * least urgent rank is not starved.
    */
-  private static final double FLOOR = 0.35;
+  private static final double MIN_RANK_SHARE = 0.35;
 
-  private static final int FLOOR_STEPS = 10;
+  private static final int BISECTION_STEPS = 10;
 
   /** Share of a rank's capacity that client retries get before first attempts. */
-  private static final double RETURN_SHARE = 0.125;
+  private static final double RETRY_SHARE = 0.125;
 
   /**
    * Client retries get the capacity that first attempts leave, less a reserve of this share of the
    * rate of first attempts. The reserve covers their growth in the next moment: ten requests in
-   * {@link Demand#ARRIVED_MS} vary by that much at times.
+   * {@link Conditions#ARRIVAL_WINDOW_MS} vary by that much at times.
    */
-  private static final double GROWTH_OF_NEW = 0.6;
+  private static final double GROWTH_RESERVE = 0.6;
 
   private static final double MS_A_SECOND = 1_000;
   private static final double PERCENT = 100;
@@ -112,38 +112,38 @@
   /** Shares above this value count as 1, to allow for rounding. */
   private static final double ALMOST_ALL = 1 - 1e-9;
 
-  private double lineMs;
-  private double longestLineMs;
-  private final double[] fresh = new double[Demand.RANKS];
-  private final double[] returning = new double[Demand.RANKS];
+  private double targetWaitMs;
+  private double maxWaitMs;
+  private final double[] firstAttemptShares = new double[Demand.RANKS];
+  private final double[] retryShares = new double[Demand.RANKS];
 
   /**
    * Queue wait of a rank together with all more urgent ones, in milliseconds of server capacity.
    */
-  private final double[] lines = new double[Demand.RANKS];
+  private final double[] queueWaitsMs = new double[Demand.RANKS];
 
-  private final double[] waits = new double[Demand.RANKS];
+  private final double[] expectedWaitsMs = new double[Demand.RANKS];
   private double capacity;
   private long measuredAtMs;
-  private long takenAtMs;
+  private long busyAtMs;
   private double latePerMs;
-  private double takenShare;
-  private boolean isShort;
+  private double usedShare;
+  private boolean isOverloaded;
   private boolean isGrowing;
   private long fitsSinceMs = Long.MAX_VALUE;
 
   /** Creates a level that admits all requests. */
   AdmissionLevel() {
-    lift();
+    reset();
   }
 
-  private void lift() {
-    isShort = false;
+  private void reset() {
+    isOverloaded = false;
     isGrowing = false;
     fitsSinceMs = Long.MAX_VALUE;
-    Arrays.fill(waits, 0);
-    Arrays.fill(fresh, 1);
-    Arrays.fill(returning, 1);
+    Arrays.fill(expectedWaitsMs, 0);
+    Arrays.fill(firstAttemptShares, 1);
+    Arrays.fill(retryShares, 1);
   }
 
   /**
@@ -155,36 +155,36 @@
    * @param nowMs the current time
    */
   void update(Demand demand, double utilization, long targetMs, long nowMs) {
-    lineMs = Math.max(LEAST_LINE_MS, targetMs * LINE_SHARE);
-    longestLineMs = Math.max(2 * lineMs, targetMs * LONGEST_LINE_SHARE);
-    takenShare = utilization;
+    targetWaitMs = Math.max(MIN_TARGET_WAIT_MS, targetMs * TARGET_WAIT_SHARE);
+    maxWaitMs = Math.max(2 * targetWaitMs, targetMs * MAX_WAIT_SHARE);
+    usedShare = utilization;
     double queued = 0;
     for (int rank = 0; rank < Demand.RANKS; rank++) {
       queued += demand.waiting(rank);
-      lines[rank] = queued;
+      queueWaitsMs[rank] = queued;
     }
-    measure(demand.begunPerMs(), queued, nowMs);
+    estimateCapacity(demand.startedPerMs(), queued, nowMs);
     if (capacity <= 0) {
-      lift();
+      reset();
       return;
     }
     for (int rank = 0; rank < Demand.RANKS; rank++) {
-      lines[rank] /= capacity;
+      queueWaitsMs[rank] /= capacity;
     }
-    latePerMs = demand.late() / SETTLE_LATE_MS;
-    double totalWaitMs = lines[Demand.RANKS - 1];
-    boolean isBusy = utilization >= LEAST_TAKEN;
-    isShort |= isBusy && totalWaitMs > lineMs;
-    takenAtMs = isBusy ? nowMs : takenAtMs;
-    boolean hasSpareCapacity = !isBusy && (queued <= 0 || nowMs - takenAtMs >= CALM_MS);
-    if (!isShort || hasSpareCapacity) {
-      lift();
+    latePerMs = demand.late() / LATE_DRAIN_MS;
+    double totalWaitMs = queueWaitsMs[Demand.RANKS - 1];
+    boolean isBusy = utilization >= MIN_OVERLOAD_UTILIZATION;
+    isOverloaded |= isBusy && totalWaitMs > targetWaitMs;
+    busyAtMs = isBusy ? nowMs : busyAtMs;
+    boolean hasSpareCapacity = !isBusy && (queued <= 0 || nowMs - busyAtMs >= RECOVERY_MS);
+    if (!isOverloaded || hasSpareCapacity) {
+      reset();
       return;
     }
-    boolean fits = divide(demand) && totalWaitMs < lineMs * CALM_LINE_SHARE;
+    boolean fits = computeShares(demand) && totalWaitMs < targetWaitMs * RECOVERY_WAIT_SHARE;
     fitsSinceMs = fits ? Math.min(fitsSinceMs, nowMs) : Long.MAX_VALUE;
-    if (fits && nowMs - fitsSinceMs >= CALM_MS) {
-      lift();
+    if (fits && nowMs - fitsSinceMs >= RECOVERY_MS) {
+      reset();
     }
   }
 
@@ -193,11 +193,13 @@
    * only while they have enough work. Otherwise they can do more, so the estimate is raised step by
    * step until it shows how much.
    */
-  private void measure(double begunPerMs, double queued, long nowMs) {
-    long elapsedMs = Math.min(LONGEST_STEP_MS, nowMs - measuredAtMs);
+  private void estimateCapacity(double begunPerMs, double queued, long nowMs) {
+    long elapsedMs = Math.min(MAX_STEP_MS, nowMs - measuredAtMs);
     measuredAtMs = nowMs;
-    boolean lacksWork = isShort && queued < begunPerMs * lineMs * CALM_LINE_SHARE;
-    double grown = Math.min(capacity * (1 + elapsedMs / GROW_MS), begunPerMs * MOST_UNTRIED);
+    boolean lacksWork = isOverloaded && queued < begunPerMs * targetWaitMs * RECOVERY_WAIT_SHARE;
+    double grown =
+        Math.min(
+            capacity * (1 + elapsedMs / CAPACITY_DOUBLING_MS), begunPerMs * MAX_CAPACITY_FACTOR);
     capacity = lacksWork ? Math.max(begunPerMs, grown) : begunPerMs;
   }
 
@@ -205,14 +207,14 @@
    * Computes the shares of all ranks, the most urgent first; returns true if all requests fit. The
    * floor depends on the average share, which depends on the floor, so it is found by bisection.
    */
-  private boolean divide(Demand demand) {
+  private boolean computeShares(Demand demand) {
     double low = 0;
-    double high = FLOOR;
+    double high = MIN_RANK_SHARE;
     boolean fits = true;
-    for (int i = 0; i < FLOOR_STEPS; i++) {
+    for (int i = 0; i < BISECTION_STEPS; i++) {
       double floor = (low + high) / 2;
-      fits = divide(demand, floor);
-      if (floor < FLOOR * average(demand)) {
+      fits = computeShares(demand, floor);
+      if (floor < MIN_RANK_SHARE * averageAdmittedShare(demand)) {
         low = floor;
       } else {
         high = floor;
@@ -221,58 +223,62 @@
     return fits;
   }
 
-  private boolean divide(Demand demand, double floor) {
+  private boolean computeShares(Demand demand, double floor) {
     double arriving = 0;
     double arrivingFirstAttempts = 0;
     for (int rank = 0; rank < Demand.RANKS; rank++) {
-      arrivingFirstAttempts += demand.freshPerMs(rank);
-      arriving += demand.freshPerMs(rank) + demand.returningPerMs(rank);
+      arrivingFirstAttempts += demand.firstAttemptsPerMs(rank);
+      arriving += demand.firstAttemptsPerMs(rank) + demand.retriesPerMs(rank);
     }
     isGrowing = arriving > capacity;
     double admitted = 0;
     double moreUrgentShare = 1;
     double lessUrgent = arriving;
     for (int rank = 0; rank < Demand.RANKS; rank++) {
-      double firstAttempts = demand.freshPerMs(rank);
-      double retries = demand.returningPerMs(rank);
+      double firstAttempts = demand.firstAttemptsPerMs(rank);
+      double retries = demand.retriesPerMs(rank);
       lessUrgent -= firstAttempts + retries;
-      double available = Math.max(0, budget(rank, admitted) - admitted - floor * lessUrgent);
-      returning[rank] = part(available * RETURN_SHARE, retries, floor);
-      fresh[rank] =
+      double available =
+          Math.max(0, admissibleRate(rank, admitted) - admitted - floor * lessUrgent);
+      retryShares[rank] = admittedShare(available * RETRY_SHARE, retries, floor);
+      firstAttemptShares[rank] =
           Math.min(
-              moreUrgentShare, part(available - retries * returning[rank], firstAttempts, floor));
-      moreUrgentShare = fresh[rank];
-      admitted += firstAttempts * fresh[rank] + retries * returning[rank];
+              moreUrgentShare,
+              admittedShare(available - retries * retryShares[rank], firstAttempts, floor));
+      moreUrgentShare = firstAttemptShares[rank];
+      admitted += firstAttempts * firstAttemptShares[rank] + retries * retryShares[rank];
     }
     double remaining =
-        budget(Demand.RANKS - 1, admitted) - admitted - GROWTH_OF_NEW * arrivingFirstAttempts;
-    return addReturns(demand, moreUrgentShare >= 1 ? remaining : 0) && moreUrgentShare >= 1;
+        admissibleRate(Demand.RANKS - 1, admitted)
+            - admitted
+            - GROWTH_RESERVE * arrivingFirstAttempts;
+    return addRetries(demand, moreUrgentShare >= 1 ? remaining : 0) && moreUrgentShare >= 1;
   }
 
   /**
    * Gives the capacity that first attempts leave to client retries; returns true if all retries
    * fit.
    */
-  private boolean addReturns(Demand demand, double available) {
+  private boolean addRetries(Demand demand, double available) {
     double remaining = available;
     boolean fits = true;
     for (int rank = 0; rank < Demand.RANKS; rank++) {
-      double retries = demand.returningPerMs(rank);
-      double added = Math.max(0, Math.min(remaining, retries * (1 - returning[rank])));
+      double retries = demand.retriesPerMs(rank);
+      double added = Math.max(0, Math.min(remaining, retries * (1 - retryShares[rank])));
       remaining -= added;
-      returning[rank] = retries <= 0 ? returning[rank] : returning[rank] + added / retries;
-      fits &= retries <= 0 || returning[rank] > ALMOST_ALL;
+      retryShares[rank] = retries <= 0 ? retryShares[rank] : retryShares[rank] + added / retries;
+      fits &= retries <= 0 || retryShares[rank] > ALMOST_ALL;
     }
     return fits;
   }
 
   /** Returns the share of all requests that is admitted, by number and not by size. */
-  private double average(Demand demand) {
+  private double averageAdmittedShare(Demand demand) {
     double all = 0;
     double admitted = 0;
     for (int rank = 0; rank < Demand.RANKS; rank++) {
       all += demand.requests(rank);
-      admitted += demand.requests(rank) * fresh[rank];
+      admitted += demand.requests(rank) * firstAttemptShares[rank];
     }
     return all <= 0 ? 1 : admitted / all;
   }
@@ -285,17 +291,17 @@
    *
    * @param admitted the rate that is admitted of more urgent ranks
    */
-  private double budget(int rank, double admitted) {
-    double freeShare = Math.max(LEAST_FREE, 1 - admitted / capacity);
-    double targetQueueMs = lineMs * freeShare * (latePerMs > 0 ? GOAL_SHARE_WITH_LATE : 1);
-    double missingMs = targetQueueMs - lines[rank];
+  private double admissibleRate(int rank, double admitted) {
+    double freeShare = Math.max(MIN_FREE_SHARE, 1 - admitted / capacity);
+    double targetQueueMs = targetWaitMs * freeShare * (latePerMs > 0 ? TARGET_SHARE_WITH_LATE : 1);
+    double missingMs = targetQueueMs - queueWaitsMs[rank];
     double correction =
-        missingMs / (missingMs > 0 ? SETTLE_MS : longestLineMs * freeShare - targetQueueMs);
-    waits[rank] = lines[rank] / freeShare;
+        missingMs / (missingMs > 0 ? REFILL_MS : maxWaitMs * freeShare - targetQueueMs);
+    expectedWaitsMs[rank] = queueWaitsMs[rank] / freeShare;
     return Math.max(0, capacity * (1 + correction) - latePerMs);
   }
 
-  private static double part(double available, double arriving, double floor) {
+  private static double admittedShare(double available, double arriving, double floor) {
     if (arriving <= 0) {
       return available > 0 ? 1 : floor;
     }
@@ -303,8 +309,8 @@
   }
 
   /** Returns true while the service is overloaded, so that requests may be refused. */
-  boolean isShort() {
-    return isShort;
+  boolean isOverloaded() {
+    return isOverloaded;
   }
 
   /** Returns true while requests arrive faster than servers can start them. */
@@ -317,8 +323,8 @@
    *
    * @param isRetry true for the share of client retries, false for that of first attempts
    */
-  double part(int rank, boolean isRetry) {
-    return isRetry ? returning[rank] : fresh[rank];
+  double admittedShare(int rank, boolean isRetry) {
+    return isRetry ? retryShares[rank] : firstAttemptShares[rank];
   }
 
   /**
@@ -326,15 +332,15 @@
    * overload.
    */
   double waitMs(int rank) {
-    return waits[rank];
+    return expectedWaitsMs[rank];
   }
 
   /** Returns the measured values that the shares are computed from, for the log. */
-  String why() {
+  String describe() {
     return String.format(
         "wait %d ms, %d%% of the room taken, %d begun a second",
-        Math.round(capacity <= 0 ? 0 : lines[Demand.RANKS - 1]),
-        Math.round(takenShare * PERCENT),
+        Math.round(capacity <= 0 ? 0 : queueWaitsMs[Demand.RANKS - 1]),
+        Math.round(usedShare * PERCENT),
         Math.round(capacity * MS_A_SECOND));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/Applicant.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/AdmissionRequest.java
@@ -25,9 +25,9 @@
  * @param rank the priority rank; 0 is the most urgent
  * @param size the cost at a server: tokens of KV cache memory, or the same value for each request
  * @param deadlineMs how long the caller waits for the answer, as it states; 0 if it states nothing
- * @param leftMs the remaining time until this VM aborts the request
+ * @param remainingMs the remaining time until this VM aborts the request
  */
-public record Applicant(
+public record AdmissionRequest(
     String id,
     String service,
     String route,
@@ -35,7 +35,7 @@
     int rank,
     long size,
     long deadlineMs,
-    long leftMs) {
+    long remainingMs) {
   /** The least urgent rank that is distinguished; higher ranks are treated like this one. */
   public static final int LAST_RANK = Demand.RANKS - 1;
 }
