--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/Demand.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/Demand.java
@@ -30,26 +30,26 @@
    * Window over which arrivals are summed: about as long as the age of the load reports that carry
    * them.
    */
-  static final long ARRIVED_MS = 300;
+  static final long ARRIVAL_WINDOW_MS = 300;
 
   /**
    * Window over which started requests are summed: long enough to contain several, even if they are
    * large.
    */
-  static final long BEGUN_MS = 1_000;
+  static final long START_WINDOW_MS = 1_000;
 
   /**
    * Window over which the demand of teams is summed: longer, since a single team sends few
    * requests.
    */
-  static final long TEAMS_MS = 2_000;
+  static final long TEAM_WINDOW_MS = 2_000;
 
   private static final int TOTAL = 0;
-  private static final int BEGUN = 1;
+  private static final int STARTED = 1;
   private static final int WAITING = 2;
-  private static final int FRESH = WAITING + RANKS;
-  private static final int RETURNING = FRESH + RANKS;
-  private static final int REQUESTS = RETURNING + RANKS;
+  private static final int FIRST_ATTEMPTS = WAITING + RANKS;
+  private static final int RETRIES = FIRST_ATTEMPTS + RANKS;
+  private static final int REQUESTS = RETRIES + RANKS;
   private static final int LATE = REQUESTS + RANKS;
   static final int SIZE = LATE + 1;
 
@@ -70,10 +70,10 @@
       long late) {
     this.amounts = new long[SIZE];
     amounts[TOTAL] = teamsTotal;
-    amounts[BEGUN] = begun;
+    amounts[STARTED] = begun;
     System.arraycopy(waiting, 0, amounts, WAITING, RANKS);
-    System.arraycopy(fresh, 0, amounts, FRESH, RANKS);
-    System.arraycopy(returning, 0, amounts, RETURNING, RANKS);
+    System.arraycopy(fresh, 0, amounts, FIRST_ATTEMPTS, RANKS);
+    System.arraycopy(returning, 0, amounts, RETRIES, RANKS);
     System.arraycopy(requests, 0, amounts, REQUESTS, RANKS);
     amounts[LATE] = late;
   }
@@ -95,14 +95,14 @@
     return new Tally(key, amounts);
   }
 
-  /** Returns the cost of all requests that arrived in {@link #TEAMS_MS}. */
+  /** Returns the cost of all requests that arrived in {@link #TEAM_WINDOW_MS}. */
   long teamsTotal() {
     return amounts[TOTAL];
   }
 
   /** Returns the cost of the requests that servers start in a millisecond. */
-  double begunPerMs() {
-    return (double) amounts[BEGUN] / BEGUN_MS;
+  double startedPerMs() {
+    return (double) amounts[STARTED] / START_WINDOW_MS;
   }
 
   /** Returns the cost of queued requests of a rank that can still meet their latency target. */
@@ -111,18 +111,20 @@
   }
 
   /** Returns the cost of the first attempts of a rank that arrive in a millisecond. */
-  double freshPerMs(int rank) {
-    return (double) amounts[FRESH + rank] / ARRIVED_MS;
+  double firstAttemptsPerMs(int rank) {
+    return (double) amounts[FIRST_ATTEMPTS + rank] / ARRIVAL_WINDOW_MS;
   }
 
   /**
    * Returns the cost of the client retries of a rank that arrive in a millisecond after a refusal.
    */
-  double returningPerMs(int rank) {
-    return (double) amounts[RETURNING + rank] / ARRIVED_MS;
+  double retriesPerMs(int rank) {
+    return (double) amounts[RETRIES + rank] / ARRIVAL_WINDOW_MS;
   }
 
-  /** Returns how many requests of a rank arrived in {@link #ARRIVED_MS}, whatever their size. */
+  /**
+   * Returns how many requests of a rank arrived in {@link #ARRIVAL_WINDOW_MS}, whatever their size.
+   */
   long requests(int rank) {
     return amounts[REQUESTS + rank];
   }
@@ -132,7 +134,7 @@
     return amounts[LATE];
   }
 
-  boolean isNothing() {
+  boolean isZero() {
     for (long amount : amounts) {
       if (amount != 0) {
         return false;
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/DemandMeter.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/DemandMeter.java
@@ -18,43 +18,43 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.IntToLongFunction;
-import org.landingtrack.internal.base.SlidingCount;
+import org.landingtrack.internal.base.SlidingWindowCounter;
 
 /** Measures the demand for a service that one VM sees, in sliding windows. Not thread-safe. */
 final class DemandMeter {
   /** Slots of each sliding window; a sum is exact to one slot. */
   private static final int SLOTS = 10;
 
-  private final SlidingCount[] fresh = counts();
-  private final SlidingCount[] returning = counts();
-  private final SlidingCount[] requests = counts();
-  private final SlidingCount begun = count(Demand.BEGUN_MS);
-  private final SlidingCount total = count(Demand.TEAMS_MS);
-  private final Map<String, SlidingCount> teams = new HashMap<>();
+  private final SlidingWindowCounter[] firstAttemptCounts = counts();
+  private final SlidingWindowCounter[] retryCounts = counts();
+  private final SlidingWindowCounter[] requestCounts = counts();
+  private final SlidingWindowCounter startedCount = count(Demand.START_WINDOW_MS);
+  private final SlidingWindowCounter totalCount = count(Demand.TEAM_WINDOW_MS);
+  private final Map<String, SlidingWindowCounter> teamCounts = new HashMap<>();
 
-  private static SlidingCount count(long spanMs) {
-    return new SlidingCount(spanMs, spanMs / SLOTS);
+  private static SlidingWindowCounter count(long spanMs) {
+    return new SlidingWindowCounter(spanMs, spanMs / SLOTS);
   }
 
-  private static SlidingCount[] counts() {
-    SlidingCount[] counts = new SlidingCount[Demand.RANKS];
+  private static SlidingWindowCounter[] counts() {
+    SlidingWindowCounter[] counts = new SlidingWindowCounter[Demand.RANKS];
     for (int rank = 0; rank < counts.length; rank++) {
-      counts[rank] = count(Demand.ARRIVED_MS);
+      counts[rank] = count(Demand.ARRIVAL_WINDOW_MS);
     }
     return counts;
   }
 
-  void came(String team, int rank, boolean isRetry, long size, long nowMs) {
-    (isRetry ? returning : fresh)[rank].add(size, nowMs);
-    requests[rank].add(1, nowMs);
-    total.add(size, nowMs);
+  void recordArrival(String team, int rank, boolean isRetry, long size, long nowMs) {
+    (isRetry ? retryCounts : firstAttemptCounts)[rank].add(size, nowMs);
+    requestCounts[rank].add(1, nowMs);
+    totalCount.add(size, nowMs);
     if (!team.isEmpty()) {
-      teams.computeIfAbsent(team, name -> count(Demand.TEAMS_MS)).add(size, nowMs);
+      teamCounts.computeIfAbsent(team, name -> count(Demand.TEAM_WINDOW_MS)).add(size, nowMs);
     }
   }
 
-  void began(long size, long nowMs) {
-    begun.add(size, nowMs);
+  void recordStart(long size, long nowMs) {
+    startedCount.add(size, nowMs);
   }
 
   /**
@@ -71,23 +71,25 @@
     long[] arrivals = new long[Demand.RANKS];
     for (int rank = 0; rank < Demand.RANKS; rank++) {
       queued[rank] = waiting.applyAsLong(rank);
-      firstAttempts[rank] = fresh[rank].atMost(Demand.ARRIVED_MS, nowMs);
-      retries[rank] = returning[rank].atMost(Demand.ARRIVED_MS, nowMs);
-      arrivals[rank] = requests[rank].atMost(Demand.ARRIVED_MS, nowMs);
+      firstAttempts[rank] =
+          firstAttemptCounts[rank].sumRoundedDown(Demand.ARRIVAL_WINDOW_MS, nowMs);
+      retries[rank] = retryCounts[rank].sumRoundedDown(Demand.ARRIVAL_WINDOW_MS, nowMs);
+      arrivals[rank] = requestCounts[rank].sumRoundedDown(Demand.ARRIVAL_WINDOW_MS, nowMs);
     }
-    long arrived = total.atMost(Demand.TEAMS_MS, nowMs);
-    long started = begun.atMost(Demand.BEGUN_MS, nowMs);
+    long arrived = totalCount.sumRoundedDown(Demand.TEAM_WINDOW_MS, nowMs);
+    long started = startedCount.sumRoundedDown(Demand.START_WINDOW_MS, nowMs);
     return new Demand(arrived, started, queued, firstAttempts, retries, arrivals, late);
   }
 
   /**
-   * Returns the cost of each team's requests in {@link Demand#TEAMS_MS}. Teams without requests in
-   * that window are removed.
+   * Returns the cost of each team's requests in {@link Conditions#TEAM_WINDOW_MS}. Teams without
+   * requests in that window are removed.
    */
-  Map<String, Long> teams(long nowMs) {
+  Map<String, Long> teamCounts(long nowMs) {
     Map<String, Long> byTeam = new HashMap<>();
-    teams.values().removeIf(count -> count.atMost(Demand.TEAMS_MS, nowMs) == 0);
-    teams.forEach((team, count) -> byTeam.put(team, count.atMost(Demand.TEAMS_MS, nowMs)));
+    teamCounts.values().removeIf(count -> count.sumRoundedDown(Demand.TEAM_WINDOW_MS, nowMs) == 0);
+    teamCounts.forEach(
+        (team, count) -> byTeam.put(team, count.sumRoundedDown(Demand.TEAM_WINDOW_MS, nowMs)));
     return byTeam;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/FleetAdmission.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/FleetAdmission.java
@@ -25,7 +25,7 @@
 import org.landingtrack.internal.base.Ticker;
 import org.landingtrack.internal.loads.PeerLoads;
 import org.landingtrack.internal.loads.Tally;
-import org.landingtrack.internal.overload.Verdict.Cause;
+import org.landingtrack.internal.overload.AdmissionDecision.Cause;
 
 /**
  * Admits requests or refuses them when they arrive, by the same rule at all VMs. Each VM measures
@@ -40,22 +40,22 @@
   private static final long UPDATE_MS = PeerLoads.ROUND_MS / 2;
 
   /** Shortest time between two notifications about a changed share during an overload. */
-  private static final long TELL_EVERY_MS = 1_000;
+  private static final long NOTIFY_INTERVAL_MS = 1_000;
 
   /** Smallest change of the share that is notified during an overload. */
-  private static final double TELL_CHANGE = 0.1;
+  private static final double NOTIFY_CHANGE = 0.1;
 
   private final Ticker ticker;
   private final long salt;
-  private final ServiceView view;
+  private final ServiceLoad view;
   private final Listener listener;
   private final Map<String, ServiceAdmission> services = new HashMap<>();
-  private final Map<Cause, Long> refused = new EnumMap<>(Cause.class);
-  private final Map<String, Told> told = new HashMap<>();
-  private Supplier<Map<Long, Tally>> others = Map::of;
+  private final Map<Cause, Long> refusals = new EnumMap<>(Cause.class);
+  private final Map<String, Notification> lastNotified = new HashMap<>();
+  private Supplier<Map<Long, Tally>> peerTallies = Map::of;
 
   /** The state of a service at the last notification. */
-  private record Told(boolean isShort, double part, long atMs) {}
+  private record Notification(boolean isOverloaded, double share, long atMs) {}
 
   /** Is notified of overloads. */
   public interface Listener {
@@ -79,7 +79,7 @@
    * @param view the load of this VM's services
    * @param listener is notified of overloads
    */
-  public FleetAdmission(Ticker ticker, long salt, ServiceView view, Listener listener) {
+  public FleetAdmission(Ticker ticker, long salt, ServiceLoad view, Listener listener) {
     this.ticker = ticker;
     this.salt = salt;
     this.view = view;
@@ -87,8 +87,8 @@
   }
 
   /** Sets the source of the other VMs' sums, by the keys of {@link #tallies}. */
-  public void others(Supplier<Map<Long, Tally>> sums) {
-    others = sums;
+  public void peerTallies(Supplier<Map<Long, Tally>> sums) {
+    peerTallies = sums;
   }
 
   /** Returns the counts of this VM for the load reports to other VMs. */
@@ -108,15 +108,15 @@
   }
 
   /** Counts a request that has arrived and decides whether it is admitted. */
-  public Verdict decide(Applicant request) {
+  public AdmissionDecision decide(AdmissionRequest request) {
     long now = ticker.millis();
     ServiceAdmission service = service(request.service());
     update(request.service(), service, now);
-    long hash = Hashes.weight(salt, Hashes.placement(request.id()));
-    double draw = Hashes.unit(hash);
-    Verdict verdict = service.decide(request, draw, now);
+    long hash = Hashes.combine(salt, Hashes.placement(request.id()));
+    double draw = Hashes.toUnitInterval(hash);
+    AdmissionDecision verdict = service.decide(request, draw, now);
     if (!verdict.isAdmitted()) {
-      refused.merge(verdict.cause(), 1L, Long::sum);
+      refusals.merge(verdict.cause(), 1L, Long::sum);
     }
     return verdict;
   }
@@ -125,39 +125,41 @@
    * Counts a request that a server has started.
    *
    * @param service the name of the service
-   * @param size the cost of the request, as in {@link Applicant#size}
+   * @param size the cost of the request, as in {@link AdmissionRequest#size}
    */
-  public void began(String service, long size) {
-    service(service).began(size, ticker.millis());
+  public void recordStart(String service, long size) {
+    service(service).recordStart(size, ticker.millis());
   }
 
   private void update(String name, ServiceAdmission service, long now) {
     if (now - service.updatedAtMs() < UPDATE_MS) {
       return;
     }
-    service.update(others.get(), now);
-    Told last = told.get(name);
-    boolean wasShort = last != null && last.isShort;
+    service.update(peerTallies.get(), now);
+    Notification last = lastNotified.get(name);
+    boolean wasShort = last != null && last.isOverloaded;
     boolean differs =
         last != null
-            && now - last.atMs >= TELL_EVERY_MS
-            && Math.abs(last.part - service.leastPart()) >= TELL_CHANGE;
-    if (wasShort != service.isShort() || (service.isShort() && differs)) {
-      told.put(name, new Told(service.isShort(), service.leastPart(), now));
-      listener.changed(name, service.isShort(), service.leastPart(), service.why());
+            && now - last.atMs >= NOTIFY_INTERVAL_MS
+            && Math.abs(last.share - service.leastAdmittedShare()) >= NOTIFY_CHANGE;
+    if (wasShort != service.isOverloaded() || (service.isOverloaded() && differs)) {
+      lastNotified.put(
+          name, new Notification(service.isOverloaded(), service.leastAdmittedShare(), now));
+      listener.changed(
+          name, service.isOverloaded(), service.leastAdmittedShare(), service.describe());
     }
   }
 
   /** Returns how many requests were refused for a cause. */
-  public long refused(Cause cause) {
-    return refused.getOrDefault(cause, 0L);
+  public long refusals(Cause cause) {
+    return refusals.getOrDefault(cause, 0L);
   }
 
   /** Returns the smallest admitted share over all services; 1 without overload. */
-  public double leastPart() {
+  public double leastAdmittedShare() {
     double least = 1;
     for (ServiceAdmission service : services.values()) {
-      least = Math.min(least, service.leastPart());
+      least = Math.min(least, service.leastAdmittedShare());
     }
     return least;
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/TeamShares.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/MaxMinShares.java
@@ -22,20 +22,20 @@
  * a common level. Keeps a few teams with a very high demand from crowding out all others.
  * Stateless.
  */
-final class TeamShares {
+final class MaxMinShares {
   /**
    * Each team is admitted at least at this share of what its priority rank gets, so that no team is
    * starved.
    */
-  private static final double FLOOR = 0.5;
+  private static final double MIN_TEAM_SHARE = 0.5;
 
-  private static final int STEPS = 30;
+  private static final int BISECTION_STEPS = 30;
 
-  private TeamShares() {}
+  private MaxMinShares() {}
 
   /**
-   * Returns the level at which the teams together get a share of their total demand; {@link #part}
-   * gives the share of a single team.
+   * Returns the level at which the teams together get a share of their total demand; {@link
+   * #admittedShare} gives the share of a single team.
    *
    * @param demands the demand of each team
    * @param share the share of the total demand that is admitted, from 0 to 1
@@ -48,11 +48,11 @@
       high = Math.max(high, (double) demand);
       available += share * demand;
     }
-    for (int i = 0; i < STEPS; i++) {
+    for (int i = 0; i < BISECTION_STEPS; i++) {
       double level = (low + high) / 2;
       double granted = 0;
       for (long demand : demands) {
-        granted += demand * part(level, demand, share);
+        granted += demand * admittedShare(level, demand, share);
       }
       if (granted > available) {
         high = level;
@@ -70,7 +70,7 @@
    * @param demand the demand of the team
    * @param share the share of the total demand that is admitted, from 0 to 1
    */
-  static double part(double level, long demand, double share) {
-    return demand <= 0 ? 1 : Math.min(1, Math.max(FLOOR * share, level / demand));
+  static double admittedShare(double level, long demand, double share) {
+    return demand <= 0 ? 1 : Math.min(1, Math.max(MIN_TEAM_SHARE * share, level / demand));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/Appointments.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/RetryAfterPolicy.java
@@ -19,26 +19,26 @@
  * Chooses the retry delay of refused callers, so that callers that were refused together do not
  * retry at the same time. Stateless.
  */
-final class Appointments {
+final class RetryAfterPolicy {
   /** Callers are expected to heed a retry delay of up to this share of their remaining time. */
-  private static final double HEEDED_SHARE = 0.33;
+  private static final double MAX_DELAY_SHARE = 0.33;
 
   /** While the overload grows, the most urgent rank gets this share of the longest delay. */
-  private static final double URGENT_SHARE = 0.6;
+  private static final double MOST_URGENT_DELAY_SHARE = 0.6;
 
   /**
    * The delays of one rank are spread over this share of their length. The backlog of a burst of
    * some seconds needs more capacity than first attempts leave in a moment.
    */
-  private static final double SPREAD = 0.5;
+  private static final double JITTER_SHARE = 0.5;
 
   /**
    * Added to the estimated wait, so that shorter waits are not relied on: load reports are up to
    * this old.
    */
-  private static final long LEAST_MS = 300;
+  private static final long MIN_WAIT_MS = 300;
 
-  private Appointments() {}
+  private RetryAfterPolicy() {}
 
   /**
    * Returns the delay after which a refused caller should retry, in milliseconds.
@@ -51,14 +51,15 @@
    * @param spread the caller's position within the spread, from 0 to 1
    */
   static long retryAfterMs(int rank, double waitMs, boolean isGrowing, long leftMs, double spread) {
-    double maxDelayMs = leftMs * HEEDED_SHARE;
+    double maxDelayMs = leftMs * MAX_DELAY_SHARE;
     double rankFraction = (double) rank / (Demand.RANKS - 1);
     double baseDelayMs =
         isGrowing
-            ? maxDelayMs * (URGENT_SHARE + (1 - URGENT_SHARE) * rankFraction)
-            : (LEAST_MS + waitMs) * (1 + rankFraction);
-    double spreadDelayMs = baseDelayMs * (isGrowing ? 1 - SPREAD * spread : 1 + SPREAD * spread);
-    double minDelayMs = Math.min(maxDelayMs, ReturningCallers.LEAST_SPENT_MS);
+            ? maxDelayMs * (MOST_URGENT_DELAY_SHARE + (1 - MOST_URGENT_DELAY_SHARE) * rankFraction)
+            : (MIN_WAIT_MS + waitMs) * (1 + rankFraction);
+    double spreadDelayMs =
+        baseDelayMs * (isGrowing ? 1 - JITTER_SHARE * spread : 1 + JITTER_SHARE * spread);
+    double minDelayMs = Math.min(maxDelayMs, RetryDetector.MIN_RETRY_DELAY_MS);
     return Math.max(1, (long) Math.min(maxDelayMs, Math.max(minDelayMs, spreadDelayMs)));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/ReturningCallers.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/RetryDetector.java
@@ -20,36 +20,36 @@
  * retry states a shorter deadline than other requests. On routes where the deadlines of first
  * attempts differ as well, no request counts as a retry. Not thread-safe.
  */
-final class ReturningCallers {
+final class RetryDetector {
   /**
    * Shortest retry delay that is stated to callers. A retry has at least this much less time than a
    * first attempt.
    */
-  static final long LEAST_SPENT_MS = 200;
+  static final long MIN_RETRY_DELAY_MS = 200;
 
   /** The longest stated deadline is forgotten after one to two times this span. */
-  private static final long SPAN_MS = 30_000;
+  private static final long LONGEST_MEMORY_MS = 30_000;
 
   /**
    * Callers still retry for this long after an overload, so the deadlines that they state then are
    * not typical of the route.
    */
-  private static final long RETURNS_MS = 5_000;
+  private static final long RETRIES_AFTER_OVERLOAD_MS = 5_000;
 
   /**
    * If more than this share of requests state a shorter deadline without an overload, deadlines
    * differ on this route anyway.
    */
-  private static final double MOST_UNUSUAL = 0.05;
+  private static final double MAX_SHORTER_SHARE = 0.05;
 
   /** Weight of one request in the moving average of requests with a shorter deadline. */
-  private static final double WEIGHT = 0.02;
+  private static final double SMOOTHING = 0.02;
 
   private long longestMs;
-  private long longestBeforeMs;
+  private long previousLongestMs;
   private long spanStartMs;
-  private long shortUntilMs = Long.MIN_VALUE;
-  private double unusual;
+  private long overloadedUntilMs = Long.MIN_VALUE;
+  private double shorterShare;
 
   /**
    * Records a stated deadline, and returns true if the request is probably a retry.
@@ -59,23 +59,23 @@
    * @param isOverloaded true while the service is overloaded
    * @param nowMs the current time
    */
-  boolean isReturn(long deadlineMs, boolean isOverloaded, long nowMs) {
+  boolean isRetry(long deadlineMs, boolean isOverloaded, long nowMs) {
     if (deadlineMs <= 0) {
       return false;
     }
-    if (nowMs - spanStartMs >= SPAN_MS) {
-      longestBeforeMs = longestMs;
+    if (nowMs - spanStartMs >= LONGEST_MEMORY_MS) {
+      previousLongestMs = longestMs;
       longestMs = 0;
       spanStartMs = nowMs;
     }
     longestMs = Math.max(longestMs, deadlineMs);
     boolean hasShorterDeadline =
-        Math.max(longestMs, longestBeforeMs) - deadlineMs >= LEAST_SPENT_MS;
+        Math.max(longestMs, previousLongestMs) - deadlineMs >= MIN_RETRY_DELAY_MS;
     if (isOverloaded) {
-      shortUntilMs = nowMs + RETURNS_MS;
-    } else if (nowMs >= shortUntilMs) {
-      unusual += WEIGHT * ((hasShorterDeadline ? 1 : 0) - unusual);
+      overloadedUntilMs = nowMs + RETRIES_AFTER_OVERLOAD_MS;
+    } else if (nowMs >= overloadedUntilMs) {
+      shorterShare += SMOOTHING * ((hasShorterDeadline ? 1 : 0) - shorterShare);
     }
-    return hasShorterDeadline && unusual <= MOST_UNUSUAL;
+    return hasShorterDeadline && shorterShare <= MAX_SHORTER_SHARE;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/ServiceAdmission.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/ServiceAdmission.java
@@ -22,7 +22,7 @@
 import java.util.Map;
 import org.landingtrack.internal.base.Hashes;
 import org.landingtrack.internal.loads.Tally;
-import org.landingtrack.internal.overload.Verdict.Cause;
+import org.landingtrack.internal.overload.AdmissionDecision.Cause;
 
 /**
  * Admission control of one service: decides on its requests by the demand that this VM and the
@@ -33,31 +33,31 @@
    * Number of teams that are reported to other VMs during an overload, those with the largest
    * demand first.
    */
-  private static final int MOST_TEAMS = 24;
+  private static final int MAX_REPORTED_TEAMS = 24;
 
   /** Shortest time that an answer is expected to take after a server has started the request. */
-  private static final long LEAST_ANSWER_MS = 100;
+  private static final long MIN_ANSWER_MS = 100;
 
   /**
    * Multiplier by which the random draw of the admission decision also gives the position within
    * the spread of retry delays. The draws of refused requests may be close to each other; the
    * multiplier moves them apart.
    */
-  private static final int SPREADS = 1_009;
+  private static final int SPREAD_FACTOR = 1_009;
 
   private static final double PERCENT = 100;
 
   private final String name;
   private final long nameHash;
-  private final ServiceView view;
+  private final ServiceLoad view;
   private final DemandMeter meter = new DemandMeter();
-  private final Map<String, ReturningCallers> callers = new HashMap<>();
-  private final Map<Long, Long> askedByTeams = new HashMap<>();
+  private final Map<String, RetryDetector> retryDetectors = new HashMap<>();
+  private final Map<Long, Long> demandByTeam = new HashMap<>();
   private final Map<Double, Double> teamLevels = new HashMap<>();
   private final AdmissionLevel level = new AdmissionLevel();
   private long updatedAtMs = Long.MIN_VALUE / 2;
 
-  ServiceAdmission(String name, ServiceView view) {
+  ServiceAdmission(String name, ServiceLoad view) {
     this.name = name;
     this.nameHash = Hashes.placement(name);
     this.view = view;
@@ -67,29 +67,30 @@
     return Hashes.placement(name + '/' + team);
   }
 
-  private Demand own(long nowMs) {
-    return meter.demand(rank -> view.waiting(name, rank), view.late(name), nowMs);
+  private Demand localDemand(long nowMs) {
+    return meter.demand(rank -> view.queuedSize(name, rank), view.lateSize(name), nowMs);
   }
 
   /** Returns the counts of this VM for the load reports to other VMs. */
   List<Tally> tallies(long nowMs) {
-    Demand demand = own(nowMs);
+    Demand demand = localDemand(nowMs);
     List<Tally> tallies = new ArrayList<>();
-    if (!demand.isNothing()) {
+    if (!demand.isZero()) {
       tallies.add(demand.tally(nameHash));
     }
-    if (level.isShort()) {
-      List<Map.Entry<String, Long>> teams = new ArrayList<>(meter.teams(nowMs).entrySet());
+    if (level.isOverloaded()) {
+      List<Map.Entry<String, Long>> teams = new ArrayList<>(meter.teamCounts(nowMs).entrySet());
       teams.sort(Map.Entry.<String, Long>comparingByValue(Comparator.reverseOrder()));
-      for (Map.Entry<String, Long> team : teams.subList(0, Math.min(MOST_TEAMS, teams.size()))) {
+      for (Map.Entry<String, Long> team :
+          teams.subList(0, Math.min(MAX_REPORTED_TEAMS, teams.size()))) {
         tallies.add(new Tally(teamKey(team.getKey()), team.getValue()));
       }
     }
     return tallies;
   }
 
-  void began(long size, long nowMs) {
-    meter.began(size, nowMs);
+  void recordStart(long size, long nowMs) {
+    meter.recordStart(size, nowMs);
   }
 
   /**
@@ -100,33 +101,33 @@
    */
   void update(Map<Long, Tally> others, long nowMs) {
     updatedAtMs = nowMs;
-    Demand demand = own(nowMs).plus(others.getOrDefault(nameHash, new Tally(nameHash)));
-    level.update(demand, view.takenShare(name), view.targetMs(name), nowMs);
-    askedByTeams.clear();
+    Demand demand = localDemand(nowMs).plus(others.getOrDefault(nameHash, new Tally(nameHash)));
+    level.update(demand, view.utilization(name), view.targetMs(name), nowMs);
+    demandByTeam.clear();
     teamLevels.clear();
-    if (level.isShort()) {
-      meter.teams(nowMs).forEach((team, asked) -> askedByTeams.put(teamKey(team), asked));
-      askedByTeams.replaceAll(
+    if (level.isOverloaded()) {
+      meter.teamCounts(nowMs).forEach((team, asked) -> demandByTeam.put(teamKey(team), asked));
+      demandByTeam.replaceAll(
           (key, asked) -> asked + others.getOrDefault(key, new Tally(key)).count(0));
     }
   }
 
   /** Returns the measured values that the shares are computed from, for the log. */
-  String why() {
-    return level.why();
+  String describe() {
+    return level.describe();
   }
 
   long updatedAtMs() {
     return updatedAtMs;
   }
 
-  boolean isShort() {
-    return level.isShort();
+  boolean isOverloaded() {
+    return level.isOverloaded();
   }
 
   /** Returns the admitted share of the least urgent rank. */
-  double leastPart() {
-    return level.part(Demand.RANKS - 1, false);
+  double leastAdmittedShare() {
+    return level.admittedShare(Demand.RANKS - 1, false);
   }
 
   /**
@@ -135,21 +136,21 @@
    * @param draw a random number from 0 to 1; the request is admitted if it is below the admitted
    *     share
    */
-  Verdict decide(Applicant request, double draw, long nowMs) {
+  AdmissionDecision decide(AdmissionRequest request, double draw, long nowMs) {
     int rank = Math.max(0, Math.min(Demand.RANKS - 1, request.rank()));
     boolean isRetry =
-        callers
-            .computeIfAbsent(request.route(), route -> new ReturningCallers())
-            .isReturn(request.deadlineMs(), level.isShort(), nowMs);
-    meter.came(request.team(), rank, isRetry, request.size(), nowMs);
-    if (!level.isShort()) {
-      return Verdict.ADMITTED;
+        retryDetectors
+            .computeIfAbsent(request.route(), route -> new RetryDetector())
+            .isRetry(request.deadlineMs(), level.isOverloaded(), nowMs);
+    meter.recordArrival(request.team(), rank, isRetry, request.size(), nowMs);
+    if (!level.isOverloaded()) {
+      return AdmissionDecision.ADMITTED;
     }
-    double share = level.part(rank, isRetry);
-    double teamShare = share < 1 ? teamPart(request.team(), share) : 1;
-    Cause cause = cause(draw, share, teamShare, level.waitMs(rank), request.leftMs());
+    double share = level.admittedShare(rank, isRetry);
+    double teamShare = share < 1 ? teamAdmittedShare(request.team(), share) : 1;
+    Cause cause = cause(draw, share, teamShare, level.waitMs(rank), request.remainingMs());
     if (cause == Cause.NONE) {
-      return Verdict.ADMITTED;
+      return AdmissionDecision.ADMITTED;
     }
     String why =
         String.format(
@@ -160,20 +161,20 @@
             isRetry ? " that return" : "",
             Math.round(teamShare * PERCENT),
             (long) level.waitMs(rank));
-    double spread = (draw * SPREADS) % 1;
+    double spread = (draw * SPREAD_FACTOR) % 1;
     long retryMs =
-        Appointments.retryAfterMs(
+        RetryAfterPolicy.retryAfterMs(
             rank,
             level.waitMs(rank),
             level.isGrowing(),
-            Math.max(request.leftMs(), request.deadlineMs()),
+            Math.max(request.remainingMs(), request.deadlineMs()),
             spread);
-    return new Verdict(cause, why, retryMs);
+    return new AdmissionDecision(cause, why, retryMs);
   }
 
   private static Cause cause(
       double draw, double share, double teamShare, double waitMs, long leftMs) {
-    if (waitMs + LEAST_ANSWER_MS > leftMs) {
+    if (waitMs + MIN_ANSWER_MS > leftMs) {
       return Cause.TIME;
     }
     if (draw < teamShare) {
@@ -182,14 +183,14 @@
     return draw < share ? Cause.TEAM : Cause.RANK;
   }
 
-  private double teamPart(String team, double share) {
-    long asked = askedByTeams.getOrDefault(teamKey(team), 0L);
+  private double teamAdmittedShare(String team, double share) {
+    long asked = demandByTeam.getOrDefault(teamKey(team), 0L);
     if (team.isEmpty() || asked == 0) {
       return share;
     }
     double teamLevel =
         teamLevels.computeIfAbsent(
-            share, admittedShare -> TeamShares.level(askedByTeams.values(), admittedShare));
-    return TeamShares.part(teamLevel, asked, share);
+            share, admittedShare -> MaxMinShares.level(demandByTeam.values(), admittedShare));
+    return MaxMinShares.admittedShare(teamLevel, asked, share);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/overload/ServiceView.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/overload/ServiceLoad.java
@@ -16,27 +16,27 @@
 package org.landingtrack.internal.overload;
 
 /** Provides the load of a VM's services to admission control. */
-public interface ServiceView {
+public interface ServiceLoad {
   /** Returns the latency target of the service's most urgent requests, in milliseconds. */
   long targetMs(String service);
 
   /**
    * Returns the cost of this VM's queued requests of a rank that can still meet their latency
-   * target, in the unit of {@link Applicant#size}.
+   * target, in the unit of {@link AdmissionRequest#size}.
    *
    * @param rank the rank; the last one includes all less urgent ones
    */
-  long waiting(String service, int rank);
+  long queuedSize(String service, int rank);
 
   /**
    * Returns the cost of this VM's queued requests that can no longer meet their latency target, in
    * the same unit.
    */
-  long late(String service);
+  long lateSize(String service);
 
   /**
    * Returns the share of the capacity of a service's servers that the requests of all VMs use; 1 or
    * more if none is left.
    */
-  double takenShare(String service);
+  double utilization(String service);
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/peer/PeerClient.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/peer/PeerClient.java
@@ -37,20 +37,21 @@
  */
 public final class PeerClient implements AutoCloseable {
   static final String ERROR = "error";
-  private static final int IDLE_PER_PEER = 8;
+  private static final int MAX_IDLE_PER_PEER = 8;
   private static final int MAX_CONNECT_MS = 1_000;
 
-  private final PeerSockets sockets;
-  private final Map<String, ArrayBlockingQueue<Connection>> idle = new ConcurrentHashMap<>();
+  private final PeerTransport transport;
+  private final Map<String, ArrayBlockingQueue<Connection>> idleConnections =
+      new ConcurrentHashMap<>();
 
   /** Creates a client without TLS. */
   public PeerClient() {
-    this(PeerSockets.PLAIN);
+    this(PeerTransport.PLAIN);
   }
 
   /** Creates a client whose connections are secured by {@code transport}. */
-  public PeerClient(PeerSockets transport) {
-    this.sockets = transport;
+  public PeerClient(PeerTransport transport) {
+    this.transport = transport;
   }
 
   /**
@@ -72,7 +73,7 @@
     }
     Connection opened = null;
     try {
-      opened = Connection.open(sockets, address, Math.min(MAX_CONNECT_MS, timeoutMs));
+      opened = Connection.open(transport, address, Math.min(MAX_CONNECT_MS, timeoutMs));
       return call(address, opened, message, answerType, timeoutMs);
     } catch (IOException e) {
       if (opened != null) {
@@ -99,12 +100,13 @@
   }
 
   private ArrayBlockingQueue<Connection> pool(String address) {
-    return idle.computeIfAbsent(address, key -> new ArrayBlockingQueue<>(IDLE_PER_PEER));
+    return idleConnections.computeIfAbsent(
+        address, key -> new ArrayBlockingQueue<>(MAX_IDLE_PER_PEER));
   }
 
   @Override
   public void close() {
-    for (ArrayBlockingQueue<Connection> queue : idle.values()) {
+    for (ArrayBlockingQueue<Connection> queue : idleConnections.values()) {
       @Nullable Connection connection = queue.poll();
       while (connection != null) {
         connection.close();
@@ -114,7 +116,7 @@
   }
 
   private record Connection(Socket socket, DataInputStream in, DataOutputStream out) {
-    static Connection open(PeerSockets transport, String address, int timeoutMs)
+    static Connection open(PeerTransport transport, String address, int timeoutMs)
         throws IOException {
       Socket socket = new Socket();
       try {
--- a/landingtrack/src/main/java/org/landingtrack/internal/peer/PeerServer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/peer/PeerServer.java
@@ -32,7 +32,7 @@
 import org.jspecify.annotations.Nullable;
 import org.landingtrack.ErrorKind;
 import org.landingtrack.LandingtrackException;
-import org.landingtrack.internal.base.Duty;
+import org.landingtrack.internal.base.BoundedWorker;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -49,13 +49,13 @@
   private static final int MAX_CONNECTIONS = 512;
   private static final int IDLE_TIMEOUT_MS = 120_000;
   private static final int HANDSHAKE_TIMEOUT_MS = 3_000;
-  private static final long CLOSE_MS = 1_000;
+  private static final long CLOSE_TIMEOUT_MS = 1_000;
 
   private final ServerSocket listener;
-  private final PeerSockets sockets;
+  private final PeerTransport transport;
   private final Thread acceptor;
   private final Map<String, Route<?>> routes = new ConcurrentHashMap<>();
-  private final Semaphore connections = new Semaphore(MAX_CONNECTIONS);
+  private final Semaphore connectionPermits = new Semaphore(MAX_CONNECTIONS);
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
 
   /**
@@ -73,15 +73,15 @@
     }
   }
 
-  private PeerServer(ServerSocket listener, PeerSockets transport) {
+  private PeerServer(ServerSocket listener, PeerTransport transport) {
     this.listener = listener;
-    this.sockets = transport;
-    this.acceptor = Duty.daemon("peer-accept").newThread(this::acceptAll);
+    this.transport = transport;
+    this.acceptor = BoundedWorker.daemonThreadFactory("peer-accept").newThread(this::acceptLoop);
   }
 
   /** Opens a port without TLS. Port 0 selects a free port. */
   public static PeerServer open(String host, int port) {
-    return open(host, port, PeerSockets.PLAIN);
+    return open(host, port, PeerTransport.PLAIN);
   }
 
   /**
@@ -89,7 +89,7 @@
    *
    * @throws LandingtrackException if the port cannot be opened
    */
-  public static PeerServer open(String host, int port, PeerSockets transport) {
+  public static PeerServer open(String host, int port, PeerTransport transport) {
     try {
       ServerSocket listener = new ServerSocket();
       listener.setReuseAddress(true);
@@ -114,16 +114,16 @@
     return this;
   }
 
-  private void acceptAll() {
+  private void acceptLoop() {
     while (!listener.isClosed()) {
       try {
         Socket socket = listener.accept();
-        if (!connections.tryAcquire()) {
+        if (!connectionPermits.tryAcquire()) {
           socket.close();
           continue;
         }
         open.add(socket);
-        Duty.daemon("peer-connection").newThread(() -> serve(socket)).start();
+        BoundedWorker.daemonThreadFactory("peer-connection").newThread(() -> serve(socket)).start();
       } catch (IOException e) {
         log.debug("Accepting a connection failed: {}.", e.toString());
       }
@@ -134,7 +134,7 @@
     try (socket) {
       socket.setTcpNoDelay(true);
       socket.setSoTimeout(HANDSHAKE_TIMEOUT_MS);
-      Socket secured = sockets.secure(socket, false);
+      Socket secured = transport.secure(socket, false);
       socket.setSoTimeout(IDLE_TIMEOUT_MS);
       DataInputStream in = new DataInputStream(new BufferedInputStream(secured.getInputStream()));
       DataOutputStream out =
@@ -148,7 +148,7 @@
       Thread.currentThread().interrupt();
     } finally {
       open.remove(socket);
-      connections.release();
+      connectionPermits.release();
     }
   }
 
@@ -184,7 +184,7 @@
         socket.close();
       }
       // The port is released only after the thread blocked in accept() has returned.
-      acceptor.join(CLOSE_MS);
+      acceptor.join(CLOSE_TIMEOUT_MS);
     } catch (IOException e) {
       log.debug("Closing the peer port failed: {}.", e.toString());
     } catch (InterruptedException e) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/peer/PeerSockets.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/peer/PeerTransport.java
@@ -24,9 +24,9 @@
  * Secures the connections between processes, with TLS or not at all. Implementations are
  * thread-safe.
  */
-public interface PeerSockets {
+public interface PeerTransport {
   /** Leaves connections unencrypted. */
-  PeerSockets PLAIN = (socket, client) -> socket;
+  PeerTransport PLAIN = (socket, client) -> socket;
 
   /**
    * Secures a connection. Each read of the handshake is limited by the socket's read timeout.
@@ -41,7 +41,7 @@
    * are not matched against addresses, since VMs are replaced at any time and each may call any
    * other.
    */
-  static PeerSockets tls(SSLContext context) {
+  static PeerTransport tls(SSLContext context) {
     return (socket, client) -> {
       SSLSocket secured =
           (SSLSocket)
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/CallBudget.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/CallBudget.java
@@ -24,10 +24,10 @@
  */
 public final class CallBudget {
   private final Ticker ticker;
-  private final double perMs;
+  private final double tokensPerMs;
   private final double capacity;
   private double tokens;
-  private long lastMs;
+  private long lastRefillMs;
 
   /** Creates a full bucket for a call rate; its capacity is the calls of one second. */
   public CallBudget(Ticker ticker, double callsPerSecond) {
@@ -35,17 +35,17 @@
       throw new IllegalArgumentException("callsPerSecond must be positive, not " + callsPerSecond);
     }
     this.ticker = ticker;
-    this.perMs = callsPerSecond / 1000;
+    this.tokensPerMs = callsPerSecond / 1000;
     this.capacity = Math.max(1, callsPerSecond);
     this.tokens = capacity;
-    this.lastMs = ticker.millis();
+    this.lastRefillMs = ticker.millis();
   }
 
   /** Takes a token if enough tokens are left for the class; returns false if the call must wait. */
-  public synchronized boolean tryTake(CallClass callClass) {
+  public synchronized boolean tryAcquire(CallClass callClass) {
     long nowMs = ticker.millis();
-    tokens = Math.min(capacity, tokens + (nowMs - lastMs) * perMs);
-    lastMs = nowMs;
+    tokens = Math.min(capacity, tokens + (nowMs - lastRefillMs) * tokensPerMs);
+    lastRefillMs = nowMs;
     double reserve = capacity * callClass.reserve();
     if (tokens - 1 < Math.min(reserve, capacity - 1)) {
       return false;
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/Breaker.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/CircuitBreaker.java
@@ -21,7 +21,7 @@
  * A circuit breaker. It opens after a number of consecutive failures and then allows one probe call
  * per open period until a call succeeds. Thread-safe.
  */
-public final class Breaker {
+public final class CircuitBreaker {
   private final Ticker ticker;
   private final int threshold;
   private final long openMs;
@@ -34,14 +34,14 @@
    * @param threshold consecutive failures from which the breaker is open
    * @param openMs interval between probe calls while the breaker is open
    */
-  public Breaker(Ticker ticker, int threshold, long openMs) {
+  public CircuitBreaker(Ticker ticker, int threshold, long openMs) {
     this.ticker = ticker;
     this.threshold = threshold;
     this.openMs = openMs;
   }
 
   /** Returns true if a call may be sent now; while the breaker is open, this call is the probe. */
-  public synchronized boolean allows() {
+  public synchronized boolean tryAcquire() {
     if (failures < threshold) {
       return true;
     }
@@ -54,12 +54,12 @@
   }
 
   /** Records a call that was answered and closes the breaker. */
-  public synchronized void succeeded() {
+  public synchronized void recordSuccess() {
     failures = 0;
   }
 
   /** Records a failed call; opens the breaker if the threshold is reached. */
-  public synchronized void failed() {
+  public synchronized void recordFailure() {
     failures++;
     if (failures >= threshold) {
       openUntilMs = ticker.millis() + openMs;
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/GuardedObjectApi.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/CircuitBreakerObjectApi.java
@@ -24,65 +24,65 @@
  * only adds load to a store that already has a problem. With it, one probe call is made for all
  * feeds. Reads and writes of single objects pass unchanged. Thread-safe.
  */
-public final class GuardedObjectApi implements ObjectApi {
+public final class CircuitBreakerObjectApi implements ObjectApi {
   /**
    * Consecutive failures, of all feeds together, that open the breaker: two per feed, since the
    * connections of all feeds may end together while the store is available.
    */
-  private static final int FAILURES = 6;
+  private static final int FAILURE_THRESHOLD = 6;
 
   /**
    * Interval between probe calls while the breaker is open. A change in that time is received up to
    * this much later.
    */
-  static final long TRY_EVERY_MS = 300;
+  static final long PROBE_INTERVAL_MS = 300;
 
   private final ObjectApi api;
-  private final Breaker breaker;
+  private final CircuitBreaker breaker;
 
   /** A list or a watch. */
-  private interface Call {
+  private interface ReadCall {
     Listing run();
   }
 
   /** Creates a wrapper whose breaker is closed. */
-  public GuardedObjectApi(ObjectApi api, Ticker ticker) {
+  public CircuitBreakerObjectApi(ObjectApi api, Ticker ticker) {
     this.api = api;
-    this.breaker = new Breaker(ticker, FAILURES, TRY_EVERY_MS);
+    this.breaker = new CircuitBreaker(ticker, FAILURE_THRESHOLD, PROBE_INTERVAL_MS);
   }
 
-  private Listing guarded(Call call) {
-    if (!breaker.allows()) {
+  private Listing callThroughBreaker(ReadCall call) {
+    if (!breaker.tryAcquire()) {
       throw new PlatformException(
           PlatformException.Reason.UNAVAILABLE,
           "call not sent: the circuit breaker is open, since the last calls to the store failed");
     }
     try {
       Listing listing = call.run();
-      breaker.succeeded();
+      breaker.recordSuccess();
       return listing;
     } catch (PlatformException e) {
-      note(e);
+      recordException(e);
       throw e;
     }
   }
 
-  private void note(PlatformException e) {
+  private void recordException(PlatformException e) {
     if (e.reason() == PlatformException.Reason.TOO_OLD) {
-      breaker.succeeded();
+      breaker.recordSuccess();
     } else {
-      breaker.failed();
+      breaker.recordFailure();
     }
   }
 
   @Override
   public Listing list(CallClass callClass, String prefix, String after, int limit) {
-    return guarded(() -> api.list(callClass, prefix, after, limit));
+    return callThroughBreaker(() -> api.list(callClass, prefix, after, limit));
   }
 
   @Override
   public Listing watch(CallClass callClass, String prefix, long afterRevision, long waitMs) {
-    return guarded(() -> api.watch(callClass, prefix, afterRevision, waitMs));
+    return callThroughBreaker(() -> api.watch(callClass, prefix, afterRevision, waitMs));
   }
 
   @Override
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/FeedCache.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/FeedCache.java
@@ -38,7 +38,7 @@
    */
   private static final int MAX_ANSWERS = 256;
 
-  private final Map<String, Followed> kinds = new HashMap<>();
+  private final Map<String, CachedKind> kinds = new HashMap<>();
 
   /**
    * How far this process has read a kind.
@@ -48,7 +48,7 @@
    */
   public record Position(long revision, long changedRevision) {}
 
-  private static final class Followed {
+  private static final class CachedKind {
     private final Map<String, StoredObject> objects = new TreeMap<>();
     private final Deque<Listing> answers = new ArrayDeque<>();
     private long completeSince;
@@ -57,33 +57,33 @@
   }
 
   /** Returns a sink that stores the objects of a kind in this cache before passing them on. */
-  public ObjectFeed.Sink keeping(String prefix, ObjectFeed.Sink sink) {
+  public ObjectFeed.Sink caching(String prefix, ObjectFeed.Sink sink) {
     return new ObjectFeed.Sink() {
       @Override
       public void replaced(Listing all) {
-        replace(prefix, all);
+        storeList(prefix, all);
         sink.replaced(all);
       }
 
       @Override
-      public void rewound() {
-        sink.rewound();
+      public void rolledBack() {
+        sink.rolledBack();
       }
 
       @Override
       public void changed(Listing changes) {
-        change(prefix, changes);
+        storeChanges(prefix, changes);
         sink.changed(changes);
       }
 
       @Override
-      public void lost() {
-        sink.lost();
+      public void outageStarted() {
+        sink.outageStarted();
       }
 
       @Override
-      public void regained() {
-        sink.regained();
+      public void recovered() {
+        sink.recovered();
       }
     };
   }
@@ -92,18 +92,18 @@
    * Stores a full list. If an older state of the kind is known, only the difference is stored, as
    * changes, so that VMs with the older state can continue from it.
    */
-  private synchronized void replace(String prefix, Listing all) {
-    Followed known = kinds.get(prefix);
+  private synchronized void storeList(String prefix, Listing all) {
+    CachedKind known = kinds.get(prefix);
     if (known != null && all.revision() >= known.revision) {
-      List<StoredObject> changes = changes(known.objects, all.objects());
+      List<StoredObject> changes = difference(known.objects, all.objects());
       if (changes.isEmpty()) {
         known.revision = all.revision();
       } else {
-        change(prefix, new Listing(all.revision(), changes));
+        storeChanges(prefix, new Listing(all.revision(), changes));
       }
       return;
     }
-    Followed kind = new Followed();
+    CachedKind kind = new CachedKind();
     all.objects().forEach(object -> kind.objects.put(object.key(), object));
     kind.completeSince = all.revision();
     kind.revision = all.revision();
@@ -111,7 +111,7 @@
     kinds.put(prefix, kind);
   }
 
-  private static List<StoredObject> changes(
+  private static List<StoredObject> difference(
       Map<String, StoredObject> before, List<StoredObject> now) {
     Map<String, StoredObject> removed = new TreeMap<>(before);
     List<StoredObject> changes = new ArrayList<>();
@@ -125,8 +125,8 @@
     return changes;
   }
 
-  private synchronized void change(String prefix, Listing changes) {
-    Followed kind = kinds.get(prefix);
+  private synchronized void storeChanges(String prefix, Listing changes) {
+    CachedKind kind = kinds.get(prefix);
     if (kind == null) {
       return;
     }
@@ -146,8 +146,8 @@
   }
 
   /** Records that a kind that was read has no further change up to a revision. */
-  synchronized void unchangedTo(String prefix, long revision) {
-    Followed kind = kinds.get(prefix);
+  synchronized void markUnchanged(String prefix, long revision) {
+    CachedKind kind = kinds.get(prefix);
     if (kind != null) {
       kind.revision = Math.max(kind.revision, revision);
     }
@@ -155,23 +155,23 @@
 
   /** Returns how far a kind was read; empty before its first list. */
   public synchronized Optional<Position> position(String prefix) {
-    Followed kind = kinds.get(prefix);
+    CachedKind kind = kinds.get(prefix);
     return kind == null
         ? Optional.empty()
         : Optional.of(new Position(kind.revision, kind.changedRevision));
   }
 
   /** Returns all objects of a kind; empty before its first list. */
-  public synchronized Optional<Listing> all(String prefix) {
-    Followed kind = kinds.get(prefix);
+  public synchronized Optional<Listing> snapshot(String prefix) {
+    CachedKind kind = kinds.get(prefix);
     return kind == null
         ? Optional.empty()
         : Optional.of(new Listing(kind.revision, new ArrayList<>(kind.objects.values())));
   }
 
   /** Returns the changes of a kind after a revision; empty if they are no longer kept. */
-  public synchronized Optional<Listing> since(String prefix, long revision) {
-    @Nullable Followed kind = kinds.get(prefix);
+  public synchronized Optional<Listing> changesSince(String prefix, long revision) {
+    @Nullable CachedKind kind = kinds.get(prefix);
     if (kind == null || revision < kind.completeSince) {
       return Optional.empty();
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/HttpObjectApi.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/HttpObjectApi.java
@@ -50,14 +50,14 @@
   private static final int NOT_FOUND = 404;
   private static final int CONFLICT = 409;
   private static final int GONE = 410;
-  private static final int TOO_MANY = 429;
+  private static final int TOO_MANY_REQUESTS = 429;
   private static final int UNAVAILABLE = 503;
 
   private final HttpUrl base;
   private final OkHttpClient client;
   private final CallBudget reads;
   private final CallBudget writes;
-  private final Breaker breaker;
+  private final CircuitBreaker breaker;
 
   /** Creates a client with the given shares of the platform's rate limits. */
   public HttpObjectApi(
@@ -70,7 +70,7 @@
             .build();
     this.reads = new CallBudget(ticker, readsPerSecond);
     this.writes = new CallBudget(ticker, writesPerSecond);
-    this.breaker = new Breaker(ticker, 5, 1_000);
+    this.breaker = new CircuitBreaker(ticker, 5, 1_000);
   }
 
   /** Returns true while the circuit breaker is closed, that is, while the platform answers. */
@@ -127,7 +127,7 @@
     try {
       return call(request, CALL_TIMEOUT_MS);
     } catch (IOException e) {
-      breaker.failed();
+      breaker.recordFailure();
       throw new PlatformException(
           Reason.OUTCOME_UNKNOWN,
           "the platform did not answer a write, which may have taken effect: " + e);
@@ -139,7 +139,7 @@
     try {
       return callRead(new Request.Builder().url(url).build(), timeoutMs);
     } catch (IOException e) {
-      breaker.failed();
+      breaker.recordFailure();
       throw new PlatformException(Reason.UNAVAILABLE, "the platform did not answer a read: " + e);
     }
   }
@@ -169,12 +169,12 @@
   }
 
   private void admit(CallClass callClass, CallBudget budget) {
-    if (!breaker.allows()) {
+    if (!breaker.tryAcquire()) {
       throw new PlatformException(
           Reason.UNAVAILABLE,
           "call not sent: the circuit breaker is open, since the platform does not answer");
     }
-    if (!budget.tryTake(callClass)) {
+    if (!budget.tryAcquire(callClass)) {
       throw new PlatformException(
           Reason.UNAVAILABLE, "call not sent: the call rate limit of this process is used up");
     }
@@ -192,12 +192,12 @@
     try (Response response = timed.newCall(request).execute()) {
       String text = response.body().string();
       int status = response.code();
-      if (status == TOO_MANY || status == UNAVAILABLE) {
-        breaker.failed();
+      if (status == TOO_MANY_REQUESTS || status == UNAVAILABLE) {
+        breaker.recordFailure();
         throw new PlatformException(
             Reason.UNAVAILABLE, "the platform answered with status " + status);
       }
-      breaker.succeeded();
+      breaker.recordSuccess();
       JsonNode body = Json.LENIENT.readTree(text.isEmpty() ? "{}" : text);
       if (status == CONFLICT) {
         throw new PlatformException(
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/FeedNewsBoard.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/HubReports.java
@@ -22,9 +22,9 @@
 import java.util.Optional;
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
-import org.landingtrack.internal.base.Awake;
+import org.landingtrack.internal.base.StallDetector;
 import org.landingtrack.internal.base.Ticker;
-import org.landingtrack.internal.loads.FeedNews;
+import org.landingtrack.internal.loads.FeedReport;
 
 /**
  * Holds the latest reports of hubs about the Object API and lets threads wait for a change. The age
@@ -32,38 +32,38 @@
  * Reports that may have waited in a socket while this process was suspended are dropped.
  * Thread-safe.
  */
-public final class FeedNewsBoard {
+public final class HubReports {
   /**
    * Maximum time that a report is under way on a working link; the links of VMs buffer up to some
    * hundred milliseconds.
    */
-  private static final long WAY_MS = 300;
+  private static final long MAX_TRANSIT_MS = 300;
 
   /** Time within which a resumed process reads what waited in its sockets. */
-  private static final long SETTLED_MS = 1_000;
+  private static final long SOCKET_BACKLOG_MS = 1_000;
 
   /** Time for which a hub that did not answer is not asked again. */
-  private static final long DISTRUST_MS = 2_000;
+  private static final long UNRESPONSIVE_MS = 2_000;
 
   private final Ticker ticker;
-  private final Awake awake;
+  private final StallDetector awake;
   private final Set<String> prefixes;
-  private final Map<String, Heard> latest = new HashMap<>();
-  private final Map<String, Long> distrustedUntilMs = new HashMap<>();
-  private long wakes;
-  private volatile ProofListener proofs = (prefix, revision, atMs) -> {};
+  private final Map<String, HubReport> latest = new HashMap<>();
+  private final Map<String, Long> unresponsiveUntilMs = new HashMap<>();
+  private long wakeUps;
+  private volatile UnchangedListener unchangedListener = (prefix, revision, atMs) -> {};
 
   /**
    * A report of a hub about one kind.
    *
    * @param hub the address at which the hub is asked
-   * @param atMs the earliest time at which the Object API can have given the content
+   * @param earliestMs the earliest time at which the Object API can have given the content
    */
-  record Heard(String hub, long revision, long changedRevision, long atMs) {}
+  record HubReport(String hub, long revision, long changedRevision, long earliestMs) {}
 
   /** Receives that a kind had no change after a revision up to a time. */
-  interface ProofListener {
-    void proven(String prefix, long revision, long atMs);
+  interface UnchangedListener {
+    void unchanged(String prefix, long revision, long atMs);
   }
 
   /**
@@ -72,30 +72,30 @@
    * @param awake detects suspensions of this process
    * @param prefixes the kinds that are followed; reports about others are dropped
    */
-  public FeedNewsBoard(Ticker ticker, Awake awake, Collection<String> prefixes) {
+  public HubReports(Ticker ticker, StallDetector awake, Collection<String> prefixes) {
     this.prefixes = Set.copyOf(prefixes);
     this.ticker = ticker;
     this.awake = awake;
   }
 
   /** Sets the listener for what reports prove; replaces the previous one. */
-  void onProof(ProofListener listener) {
-    proofs = listener;
+  void setUnchangedListener(UnchangedListener listener) {
+    unchangedListener = listener;
   }
 
   /** Receives reports of a hub. */
-  public void heard(String hub, List<FeedNews> reports) {
-    if (reports.isEmpty() || awake.forMs() < SETTLED_MS) {
+  public void receive(String hub, List<FeedReport> reports) {
+    if (reports.isEmpty() || awake.runningForMs() < SOCKET_BACKLOG_MS) {
       return;
     }
     long nowMs = ticker.millis();
-    for (FeedNews report : reports) {
+    for (FeedReport report : reports) {
       if (!prefixes.contains(report.prefix())) {
         continue;
       }
-      long atMs = nowMs - WAY_MS - Math.max(0, report.ageMs());
-      note(new Heard(hub, report.revision(), report.changedRevision(), atMs), report.prefix());
-      proofs.proven(report.prefix(), report.revision(), atMs);
+      long atMs = nowMs - MAX_TRANSIT_MS - Math.max(0, report.ageMs());
+      store(new HubReport(hub, report.revision(), report.changedRevision(), atMs), report.prefix());
+      unchangedListener.unchanged(report.prefix(), report.revision(), atMs);
     }
   }
 
@@ -103,9 +103,9 @@
    * Stores a report. Wakes waiting threads only for a change, since reports arrive ten times a
    * second.
    */
-  private synchronized void note(Heard report, String prefix) {
-    Heard known = latest.get(prefix);
-    if (known != null && report.atMs < known.atMs) {
+  private synchronized void store(HubReport report, String prefix) {
+    HubReport known = latest.get(prefix);
+    if (known != null && report.earliestMs < known.earliestMs) {
       return;
     }
     latest.put(prefix, report);
@@ -118,25 +118,25 @@
    * Returns the latest report about a kind; empty if it is older than {@code maxAgeMs} or its hub
    * recently did not answer.
    */
-  synchronized Optional<Heard> latest(String prefix, long maxAgeMs) {
-    @Nullable Heard report = latest.get(prefix);
+  synchronized Optional<HubReport> latest(String prefix, long maxAgeMs) {
+    @Nullable HubReport report = latest.get(prefix);
     long nowMs = ticker.millis();
-    if (report == null || nowMs - report.atMs > maxAgeMs) {
+    if (report == null || nowMs - report.earliestMs > maxAgeMs) {
       return Optional.empty();
     }
-    return nowMs < distrustedUntilMs.getOrDefault(report.hub, Long.MIN_VALUE)
+    return nowMs < unresponsiveUntilMs.getOrDefault(report.hub, Long.MIN_VALUE)
         ? Optional.empty()
         : Optional.of(report);
   }
 
   /** Records that a hub did not answer, so that it is not asked for a while. */
-  synchronized void distrust(String hub) {
-    distrustedUntilMs.put(hub, ticker.millis() + DISTRUST_MS);
+  synchronized void markUnresponsive(String hub) {
+    unresponsiveUntilMs.put(hub, ticker.millis() + UNRESPONSIVE_MS);
   }
 
   /** Ends all waits, since the role of this process has changed. */
   synchronized void wake() {
-    wakes++;
+    wakeUps++;
     notifyAll();
   }
 
@@ -145,9 +145,9 @@
       throws InterruptedException {
     long endMs = ticker.millis() + waitMs;
     long leftMs = waitMs;
-    long wakesAtStart = wakes;
-    while (leftMs > 0 && wakes == wakesAtStart) {
-      Heard report = latest.get(prefix);
+    long wakesAtStart = wakeUps;
+    while (leftMs > 0 && wakeUps == wakesAtStart) {
+      HubReport report = latest.get(prefix);
       if (report != null && report.changedRevision > afterRevision) {
         return;
       }
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/ObjectFeed.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/ObjectFeed.java
@@ -17,7 +17,7 @@
 
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
-import org.landingtrack.internal.base.Duty;
+import org.landingtrack.internal.base.BoundedWorker;
 import org.landingtrack.internal.platform.ObjectApi.CallClass;
 import org.landingtrack.internal.platform.ObjectApi.Listing;
 import org.slf4j.Logger;
@@ -35,10 +35,10 @@
    * First and longest backoff after errors. They are short, since time limits keep running while
    * the store is unavailable.
    */
-  private static final long FIRST_PAUSE_MS = 50;
+  private static final long INITIAL_BACKOFF_MS = 50;
 
-  private static final long MAX_PAUSE_MS = 400;
-  private static final int ALL = Integer.MAX_VALUE;
+  private static final long MAX_BACKOFF_MS = 400;
+  private static final int NO_LIMIT = Integer.MAX_VALUE;
 
   /**
    * Consecutive failures that count as a store outage. A single failure may also come from a
@@ -46,20 +46,20 @@
    * reported as an outage and a recovery, servers that had left got requests for up to 7.5 s, where
    * 2 s are allowed.
    */
-  private static final int FAILURES_OF_TROUBLE = 2;
+  private static final int OUTAGE_FAILURES = 2;
 
   private final ObjectApi api;
   private final String prefix;
   private final long waitMs;
-  private final LongSupplier gatherMs;
+  private final LongSupplier batchDelayMs;
   private final Sink sink;
   private final Backoff backoff;
   private final Thread thread;
   private long revision = -1;
   private long generation = -1;
   private int failures;
-  private boolean lost;
-  private boolean moreMayFollow;
+  private boolean outage;
+  private boolean changesReceived;
   private volatile boolean closed;
 
   /** Receives what the feed reads. Called on the feed's thread. */
@@ -71,16 +71,16 @@
      * Called when the store rolled back to an older copy of its data: the next list lacks writes
      * that the store acknowledged shortly before, until they are written again.
      */
-    default void rewound() {}
+    default void rolledBack() {}
 
     /** Receives the objects that changed since the last call; removed ones have no value. */
     void changed(Listing changes);
 
     /** Called when a store outage begins: what was received becomes stale. */
-    void lost();
+    void outageStarted();
 
     /** Called when the store has recovered and all missed changes have been received. */
-    void regained();
+    void recovered();
   }
 
   /**
@@ -100,10 +100,10 @@
     this.api = api;
     this.prefix = prefix;
     this.waitMs = waitMs;
-    this.gatherMs = delayAfterChangesMs;
+    this.batchDelayMs = delayAfterChangesMs;
     this.sink = sink;
-    this.backoff = new Backoff(random, FIRST_PAUSE_MS, MAX_PAUSE_MS);
-    this.thread = Duty.daemon("feed-" + prefix).newThread(this::run);
+    this.backoff = new Backoff(random, INITIAL_BACKOFF_MS, MAX_BACKOFF_MS);
+    this.thread = BoundedWorker.daemonThreadFactory("feed-" + prefix).newThread(this::run);
   }
 
   /** Starts the feed's thread. */
@@ -113,18 +113,18 @@
 
   private void run() {
     while (!closed) {
-      pause(attempt());
+      pause(runOnce());
     }
   }
 
   /** Reads once and reports outages; returns the delay until the next read. Visible for tests. */
-  long attempt() {
+  long runOnce() {
     try {
-      moreMayFollow = false;
-      step();
+      changesReceived = false;
+      readOnce();
       backoff.reset();
-      noteAnswer();
-      return moreMayFollow ? gatherMs.getAsLong() : 0;
+      recordSuccess();
+      return changesReceived ? batchDelayMs.getAsLong() : 0;
     } catch (PlatformException e) {
       if (e.reason() == PlatformException.Reason.TOO_OLD) {
         log.info(
@@ -132,7 +132,7 @@
             prefix);
         return 0;
       }
-      noteSilence(e);
+      recordFailure(e);
     } catch (RuntimeException e) {
       // An object in the store cannot be parsed; its next version may be readable.
       log.error("The feed of {} failed and will retry: {}.", prefix, e.toString());
@@ -141,13 +141,13 @@
   }
 
   /** Lists or watches once; lists again after a failure. Visible for tests. */
-  void step() {
+  void readOnce() {
     long from = revision;
     revision = -1;
     if (from < 0) {
-      Listing all = api.list(CallClass.CONFIGURATION, prefix, "", ALL);
+      Listing all = api.list(CallClass.CONFIGURATION, prefix, "", NO_LIMIT);
       revision = all.revision();
-      noteGeneration(Revision.generation(revision));
+      updateGeneration(Revision.generation(revision));
       sink.replaced(all);
       return;
     }
@@ -157,8 +157,8 @@
           PlatformException.Reason.TOO_OLD, "the store came back from an older copy");
     }
     revision = Math.max(from, changes.revision());
-    moreMayFollow = !changes.objects().isEmpty();
-    if (moreMayFollow) {
+    changesReceived = !changes.objects().isEmpty();
+    if (changesReceived) {
       sink.changed(changes);
     }
   }
@@ -167,39 +167,39 @@
    * Detects a rollback of the store. A rollback is reported like an outage with its recovery, since
    * entries may be missing until they are written again.
    */
-  private void noteGeneration(long current) {
+  private void updateGeneration(long current) {
     if (generation >= 0 && current > generation) {
       log.atWarn()
           .addKeyValue("prefix", prefix)
           .addKeyValue("generation", current)
           .log("store came back from an older copy");
-      lost = true;
-      sink.rewound();
+      outage = true;
+      sink.rolledBack();
     }
     generation = current;
   }
 
-  private void noteAnswer() {
+  private void recordSuccess() {
     failures = 0;
-    if (lost) {
-      lost = false;
+    if (outage) {
+      outage = false;
       log.atInfo()
           .addKeyValue("prefix", prefix)
           .addKeyValue("revision", revision)
           .log("store regained");
-      sink.regained();
+      sink.recovered();
     }
   }
 
-  private void noteSilence(PlatformException e) {
+  private void recordFailure(PlatformException e) {
     failures++;
-    if (!lost && !closed && failures >= FAILURES_OF_TROUBLE) {
-      lost = true;
+    if (!outage && !closed && failures >= OUTAGE_FAILURES) {
+      outage = true;
       log.atWarn()
           .addKeyValue("prefix", prefix)
           .addKeyValue("why", e.getMessage())
           .log("store lost");
-      sink.lost();
+      sink.outageStarted();
     }
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/RelayedObjectApi.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/RelayedObjectApi.java
@@ -25,9 +25,9 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.ToLongFunction;
 import org.landingtrack.internal.base.Ticker;
-import org.landingtrack.internal.loads.FeedNews;
+import org.landingtrack.internal.loads.FeedReport;
 import org.landingtrack.internal.platform.FeedCache.Position;
-import org.landingtrack.internal.platform.FeedNewsBoard.Heard;
+import org.landingtrack.internal.platform.HubReports.HubReport;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -46,31 +46,31 @@
   private static final Logger log = LoggerFactory.getLogger("store");
 
   /** Watches of a hub within the allowed age, so that an answer may be late. */
-  private static final int HUB_WATCHES = 3;
+  private static final int HUB_WATCHES_PER_MAX_AGE = 3;
 
   /** Delay before a hub is asked again whose report was ahead of its answer. */
-  private static final long AGAIN_MS = 50;
+  private static final long HUB_RETRY_MS = 50;
 
-  private final DatedObjectApi api;
+  private final TimestampedObjectApi api;
   private final FeedCache cache;
-  private final FeedNewsBoard board;
-  private final HubClient hubs;
+  private final HubReports hubReports;
+  private final HubClient hubClient;
   private final BooleanSupplier isHub;
   private final ToLongFunction<String> maxAgeMs;
   private final Ticker ticker;
-  private final Map<String, Long> readTo = new ConcurrentHashMap<>();
-  private final Set<String> relayed = ConcurrentHashMap.newKeySet();
+  private final Map<String, Long> readRevisions = new ConcurrentHashMap<>();
+  private final Set<String> relayedPrefixes = ConcurrentHashMap.newKeySet();
 
   /** Asks hubs. Calls block for a bounded time. Implementations are thread-safe. */
   public interface HubClient {
     /** Returns all objects of a kind; empty if the hub does not answer or does not have them. */
-    Optional<Listing> all(String hub, String prefix);
+    Optional<Listing> snapshot(String hub, String prefix);
 
     /**
      * Returns the changes after a revision; empty if the hub does not answer or no longer keeps
      * them.
      */
-    Optional<Listing> since(String hub, String prefix, long revision);
+    Optional<Listing> changesSince(String hub, String prefix, long revision);
   }
 
   /**
@@ -83,50 +83,50 @@
    * @param maxAgeMs how old a hub's report about a kind may be; 0 for kinds that are not relayed
    */
   public RelayedObjectApi(
-      DatedObjectApi api,
+      TimestampedObjectApi api,
       FeedCache cache,
-      FeedNewsBoard reports,
+      HubReports reports,
       HubClient client,
       BooleanSupplier isHub,
       ToLongFunction<String> maxAgeMs,
       Ticker ticker) {
     this.api = api;
     this.cache = cache;
-    this.board = reports;
-    this.hubs = client;
+    this.hubReports = reports;
+    this.hubClient = client;
     this.isHub = isHub;
     this.maxAgeMs = maxAgeMs;
     this.ticker = ticker;
-    reports.onProof(api::note);
+    reports.setUnchangedListener(api::recordUnchanged);
   }
 
   /** Ends waits for reports after this VM became a hub or stopped being one. */
   public void roleChanged() {
-    board.wake();
+    hubReports.wake();
   }
 
   /** Returns the longest delay that a hub may add to a change of a kind; 0 if read directly. */
-  public long lateMs(String prefix) {
-    return relayed.contains(prefix) ? maxAgeMs.applyAsLong(prefix) : 0;
+  public long maxRelayDelayMs(String prefix) {
+    return relayedPrefixes.contains(prefix) ? maxAgeMs.applyAsLong(prefix) : 0;
   }
 
   /**
    * Returns reports for the VMs that use this one as their hub. Kinds that this VM itself reads
    * through a hub, or whose information is older than allowed, are left out.
    */
-  public List<FeedNews> news(List<String> prefixes) {
-    List<FeedNews> reports = new ArrayList<>();
+  public List<FeedReport> feedReports(List<String> prefixes) {
+    List<FeedReport> reports = new ArrayList<>();
     for (String prefix : prefixes) {
       Optional<Position> position = cache.position(prefix);
-      if (position.isEmpty() || relayed.contains(prefix)) {
+      if (position.isEmpty() || relayedPrefixes.contains(prefix)) {
         continue;
       }
       long revision = position.get().revision();
-      OptionalLong unchangedMs = api.provenMs(prefix, revision);
+      OptionalLong unchangedMs = api.unchangedUntilMs(prefix, revision);
       long ageMs =
           unchangedMs.isEmpty() ? Long.MAX_VALUE : ticker.millis() - unchangedMs.getAsLong();
       if (ageMs <= maxAgeMs.applyAsLong(prefix)) {
-        reports.add(new FeedNews(prefix, revision, position.get().changedRevision(), ageMs));
+        reports.add(new FeedReport(prefix, revision, position.get().changedRevision(), ageMs));
       }
     }
     return reports;
@@ -134,13 +134,13 @@
 
   @Override
   public Listing list(CallClass callClass, String prefix, String after, int limit) {
-    Optional<Heard> report = usable(prefix);
+    Optional<HubReport> report = usableReport(prefix);
     if (report.isPresent()) {
-      Optional<Listing> all = hubs.all(report.get().hub(), prefix);
-      if (all.isPresent() && all.get().revision() >= readTo.getOrDefault(prefix, 0L)) {
+      Optional<Listing> all = hubClient.snapshot(report.get().hub(), prefix);
+      if (all.isPresent() && all.get().revision() >= readRevisions.getOrDefault(prefix, 0L)) {
         return read(prefix, all.get(), true);
       }
-      board.distrust(report.get().hub());
+      hubReports.markUnresponsive(report.get().hub());
     }
     return read(prefix, api.list(callClass, prefix, after, limit), false);
   }
@@ -149,28 +149,29 @@
   public Listing watch(CallClass callClass, String prefix, long afterRevision, long waitMs) {
     long deadlineMs = ticker.millis() + waitMs;
     while (true) {
-      Optional<Heard> report = usable(prefix);
+      Optional<HubReport> report = usableReport(prefix);
       long remainingMs = Math.max(1, deadlineMs - ticker.millis());
       if (report.isEmpty()) {
-        return watchItself(callClass, prefix, afterRevision, remainingMs);
+        return watchDirectly(callClass, prefix, afterRevision, remainingMs);
       }
       if (report.get().changedRevision() > afterRevision) {
-        Optional<Listing> changes = hubs.since(report.get().hub(), prefix, afterRevision);
+        Optional<Listing> changes =
+            hubClient.changesSince(report.get().hub(), prefix, afterRevision);
         if (changes.isEmpty()) {
-          board.distrust(report.get().hub());
+          hubReports.markUnresponsive(report.get().hub());
           continue;
         }
         if (changes.get().revision() > afterRevision) {
           return read(prefix, changes.get(), true);
         }
-        if (remainingMs <= AGAIN_MS) {
-          return watchItself(callClass, prefix, afterRevision, remainingMs);
+        if (remainingMs <= HUB_RETRY_MS) {
+          return watchDirectly(callClass, prefix, afterRevision, remainingMs);
         }
-        pause(AGAIN_MS);
+        pause(HUB_RETRY_MS);
       } else if (remainingMs <= 1) {
         return read(prefix, new Listing(afterRevision, List.of()), true);
       } else {
-        await(prefix, afterRevision, Math.min(remainingMs, untilOld(prefix, report.get())));
+        await(prefix, afterRevision, Math.min(remainingMs, remainingAgeMs(prefix, report.get())));
       }
     }
   }
@@ -179,39 +180,40 @@
    * Watches the Object API directly. A hub uses short watches, so that its reports are recent;
    * other VMs wait for the whole time.
    */
-  private Listing watchItself(CallClass callClass, String prefix, long afterRevision, long waitMs) {
-    long hubWaitMs = maxAgeMs.applyAsLong(prefix) / HUB_WATCHES;
+  private Listing watchDirectly(
+      CallClass callClass, String prefix, long afterRevision, long waitMs) {
+    long hubWaitMs = maxAgeMs.applyAsLong(prefix) / HUB_WATCHES_PER_MAX_AGE;
     long watchMs = isHub.getAsBoolean() && hubWaitMs > 0 ? Math.min(waitMs, hubWaitMs) : waitMs;
     Listing changes = api.watch(callClass, prefix, afterRevision, watchMs);
     if (changes.objects().isEmpty()) {
-      cache.unchangedTo(prefix, changes.revision());
+      cache.markUnchanged(prefix, changes.revision());
     }
     return read(prefix, changes, false);
   }
 
   private Listing read(String prefix, Listing listing, boolean byHub) {
-    readTo.merge(prefix, listing.revision(), Math::max);
-    boolean changed = byHub ? relayed.add(prefix) : relayed.remove(prefix);
+    readRevisions.merge(prefix, listing.revision(), Math::max);
+    boolean changed = byHub ? relayedPrefixes.add(prefix) : relayedPrefixes.remove(prefix);
     if (changed) {
       log.atInfo().addKeyValue("prefix", prefix).addKeyValue("byHub", byHub).log("store read");
     }
     return listing;
   }
 
-  private Optional<Heard> usable(String prefix) {
+  private Optional<HubReport> usableReport(String prefix) {
     long maxMs = maxAgeMs.applyAsLong(prefix);
-    return maxMs <= 0 || isHub.getAsBoolean() ? Optional.empty() : board.latest(prefix, maxMs);
+    return maxMs <= 0 || isHub.getAsBoolean() ? Optional.empty() : hubReports.latest(prefix, maxMs);
   }
 
-  private long untilOld(String prefix, Heard report) {
-    return Math.max(1, report.atMs() + maxAgeMs.applyAsLong(prefix) - ticker.millis());
+  private long remainingAgeMs(String prefix, HubReport report) {
+    return Math.max(1, report.earliestMs() + maxAgeMs.applyAsLong(prefix) - ticker.millis());
   }
 
   private void await(String prefix, long afterRevision, long waitMs) {
     try {
-      board.await(prefix, afterRevision, waitMs);
+      hubReports.await(prefix, afterRevision, waitMs);
     } catch (InterruptedException e) {
-      stop();
+      throwInterrupted();
     }
   }
 
@@ -219,11 +221,11 @@
     try {
       Thread.sleep(ms);
     } catch (InterruptedException e) {
-      stop();
+      throwInterrupted();
     }
   }
 
-  private static void stop() {
+  private static void throwInterrupted() {
     Thread.currentThread().interrupt();
     throw new PlatformException(PlatformException.Reason.UNAVAILABLE, "this process ends");
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/platform/DatedObjectApi.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/platform/TimestampedObjectApi.java
@@ -23,7 +23,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.jspecify.annotations.Nullable;
-import org.landingtrack.internal.base.Awake;
+import org.landingtrack.internal.base.StallDetector;
 import org.landingtrack.internal.base.Ticker;
 
 /**
@@ -35,7 +35,7 @@
  * limit that starts with a change must therefore not be measured from the time at which the change
  * is read. Thread-safe.
  */
-public final class DatedObjectApi implements ObjectApi {
+public final class TimestampedObjectApi implements ObjectApi {
   /**
    * Answers kept for each prefix: enough for one answer per change within the time limits that are
    * measured from changes.
@@ -47,26 +47,26 @@
    * suspended in between. A cut path to the store is detected within 3 s, and the time limits leave
    * a margin for that.
    */
-  private static final long READ_MS = 1_000;
+  private static final long MAX_READ_DELAY_MS = 1_000;
 
   private final ObjectApi api;
   private final Ticker ticker;
-  private final Awake awake;
+  private final StallDetector awake;
   private final Map<String, Deque<Answer>> answers = new HashMap<>();
 
   /**
    * An answer of the store: at its time, a prefix had no change after a revision.
    *
-   * @param atMs the earliest time at which the store can have made the answer
+   * @param earliestMs the earliest time at which the store can have made the answer
    */
-  private record Answer(long revision, long atMs) {}
+  private record Answer(long revision, long earliestMs) {}
 
   /**
    * Creates a wrapper without any answers.
    *
    * @param awake detects suspensions of this process, during which answers wait in sockets
    */
-  public DatedObjectApi(ObjectApi api, Ticker ticker, Awake awake) {
+  public TimestampedObjectApi(ObjectApi api, Ticker ticker, StallDetector awake) {
     this.api = api;
     this.ticker = ticker;
     this.awake = awake;
@@ -76,12 +76,12 @@
    * Returns the latest known time before which a change of a prefix cannot have been made; empty if
    * no answer without the change is kept.
    */
-  public synchronized OptionalLong madeAfterMs(String prefix, long revision) {
+  public synchronized OptionalLong earliestChangeMs(String prefix, long revision) {
     Iterator<Answer> latestFirst = answersOf(prefix).descendingIterator();
     while (latestFirst.hasNext()) {
       Answer answer = latestFirst.next();
       if (answer.revision() < revision) {
-        return OptionalLong.of(answer.atMs());
+        return OptionalLong.of(answer.earliestMs());
       }
     }
     return OptionalLong.empty();
@@ -95,18 +95,18 @@
    * Returns the latest time at which a prefix is known to have had no change after a revision;
    * empty unless the last answer was for this revision.
    */
-  public synchronized OptionalLong provenMs(String prefix, long revision) {
+  public synchronized OptionalLong unchangedUntilMs(String prefix, long revision) {
     Answer last = answersOf(prefix).peekLast();
     return last == null || last.revision() != revision
         ? OptionalLong.empty()
-        : OptionalLong.of(last.atMs());
+        : OptionalLong.of(last.earliestMs());
   }
 
   /**
    * Records that a prefix had no change after a revision up to a time; also called with what a hub
    * reports.
    */
-  synchronized void note(String prefix, long revision, long atMs) {
+  synchronized void recordUnchanged(String prefix, long revision, long atMs) {
     Deque<Answer> known = answersOf(prefix);
     @Nullable Answer last = known.peekLast();
     if (last != null && revision < last.revision()) {
@@ -115,7 +115,7 @@
     long unchangedMs = atMs;
     if (last != null && revision == last.revision()) {
       known.removeLast();
-      unchangedMs = Math.max(atMs, last.atMs());
+      unchangedMs = Math.max(atMs, last.earliestMs());
     }
     known.addLast(new Answer(revision, unchangedMs));
     if (known.size() > MAX_ANSWERS) {
@@ -127,7 +127,7 @@
   public Listing list(CallClass callClass, String prefix, String after, int limit) {
     long sentMs = ticker.millis();
     Listing all = api.list(callClass, prefix, after, limit);
-    note(prefix, all.revision(), sentMs);
+    recordUnchanged(prefix, all.revision(), sentMs);
     return all;
   }
 
@@ -135,20 +135,20 @@
   public Listing watch(CallClass callClass, String prefix, long afterRevision, long waitMs) {
     long sentMs = ticker.millis();
     Listing changes = api.watch(callClass, prefix, afterRevision, waitMs);
-    long minAnswerMs = madeMs(sentMs);
+    long minAnswerMs = earliestAnswerMs(sentMs);
     if (minAnswerMs > sentMs) {
       // The store had no change when it received the call; otherwise it would have answered at
       // once.
-      note(prefix, afterRevision, minAnswerMs);
+      recordUnchanged(prefix, afterRevision, minAnswerMs);
     }
-    note(prefix, changes.revision(), minAnswerMs);
+    recordUnchanged(prefix, changes.revision(), minAnswerMs);
     return changes;
   }
 
   /** Returns the earliest time at which the store can have made an answer that was just read. */
-  private long madeMs(long sentMs) {
-    boolean mayBeDelayed = awake.forMs() < READ_MS;
-    return mayBeDelayed ? sentMs : Math.max(sentMs, ticker.millis() - READ_MS);
+  private long earliestAnswerMs(long sentMs) {
+    boolean mayBeDelayed = awake.runningForMs() < MAX_READ_DELAY_MS;
+    return mayBeDelayed ? sentMs : Math.max(sentMs, ticker.millis() - MAX_READ_DELAY_MS);
   }
 
   @Override
--- a/landingtrack/src/main/java/org/landingtrack/internal/prefix/PrefixChain.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/prefix/PrefixChain.java
@@ -81,7 +81,7 @@
    * Returns the key of the first block, which selects the controller that tracks the holders of
    * this prompt; empty if the prompt is shorter than a block.
    */
-  public String group() {
+  public String groupKey() {
     return keys.isEmpty() ? "" : keys.get(0);
   }
 
@@ -96,7 +96,7 @@
   }
 
   /** Returns the estimated number of tokens to compute if blocks are reused, at least 1. */
-  public int tokensAfter(int reusedBlocks) {
+  public int remainingTokens(int reusedBlocks) {
     return Math.max(1, promptTokens() - reusedBlocks * BLOCK_TOKENS);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/EarlyReturns.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/EarlyRetries.java
@@ -25,31 +25,31 @@
  * processor time of other requests. The same request of another caller gets the same decision,
  * until one of the two is served. Bounded; empty while no request is refused.
  */
-public final class EarlyReturns {
-  private static final int MOST = 1_024;
+public final class EarlyRetries {
+  private static final int MAX_REQUESTS = 1_024;
 
   /** Callers honour a retry time only up to their remaining time divided by this. */
-  private static final int HEEDED_PARTS = 3;
+  private static final int MAX_WAIT_DIVISOR = 3;
 
   /**
    * Share of the retry time after which a retry no longer counts as early, since the timers and the
    * network latency of callers vary.
    */
-  private static final double EARLY_SHARE = 0.8;
+  private static final double MIN_WAIT_SHARE = 0.8;
 
   /**
    * Early retries that are routed as usual; a single one may be accidental, further ones are not.
    */
-  private static final int ALLOWED = 1;
+  private static final int ALLOWED_EARLY_RETRIES = 1;
 
-  private final Map<Long, Refused> refused = new LinkedHashMap<>();
+  private final Map<Long, RefusedRequest> refused = new LinkedHashMap<>();
 
   /** A request that was refused and may be retried. */
-  private static final class Refused {
+  private static final class RefusedRequest {
     private final long untilMs;
-    private int returns;
+    private int earlyRetries;
 
-    Refused(long untilMs) {
+    RefusedRequest(long untilMs) {
       this.untilMs = untilMs;
     }
   }
@@ -72,14 +72,14 @@
    * @param remainingMs remaining time of the caller
    */
   public void refused(long request, long retryAfterMs, long remainingMs, long nowMs) {
-    dropOver(nowMs);
-    long waitMs = Math.min(retryAfterMs, Math.max(0, remainingMs) / HEEDED_PARTS);
-    long untilMs = nowMs + (long) (waitMs * EARLY_SHARE);
+    removeExpired(nowMs);
+    long waitMs = Math.min(retryAfterMs, Math.max(0, remainingMs) / MAX_WAIT_DIVISOR);
+    long untilMs = nowMs + (long) (waitMs * MIN_WAIT_SHARE);
     if (untilMs <= nowMs) {
       return;
     }
-    refused.putIfAbsent(request, new Refused(untilMs));
-    if (refused.size() > MOST) {
+    refused.putIfAbsent(request, new RefusedRequest(untilMs));
+    if (refused.size() > MAX_REQUESTS) {
       Iterator<Long> oldest = refused.keySet().iterator();
       oldest.next();
       oldest.remove();
@@ -92,8 +92,8 @@
    *
    * @param busy true if this VM has no time to route early retries
    */
-  public long earlyMs(long request, boolean busy, long nowMs) {
-    Refused known = refused.get(request);
+  public long remainingWaitMs(long request, boolean busy, long nowMs) {
+    RefusedRequest known = refused.get(request);
     if (known == null) {
       return 0;
     }
@@ -101,8 +101,8 @@
       refused.remove(request);
       return 0;
     }
-    known.returns++;
-    return busy || known.returns > ALLOWED ? known.untilMs - nowMs : 0;
+    known.earlyRetries++;
+    return busy || known.earlyRetries > ALLOWED_EARLY_RETRIES ? known.untilMs - nowMs : 0;
   }
 
   /** Removes a request because there is capacity for it now. */
@@ -114,8 +114,8 @@
    * Removes expired requests at the head of the insertion order. Retry times differ, so some
    * expired requests may stay behind one that has not expired, up to the bound.
    */
-  private void dropOver(long nowMs) {
-    Iterator<Refused> oldest = refused.values().iterator();
+  private void removeExpired(long nowMs) {
+    Iterator<RefusedRequest> oldest = refused.values().iterator();
     while (oldest.hasNext() && oldest.next().untilMs <= nowMs) {
       oldest.remove();
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/HeldBytes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/HeldBytes.java
@@ -32,27 +32,27 @@
  */
 public final class HeldBytes {
   /** Low watermark: nothing is restricted below it. A shortage ends here, for hysteresis. */
-  private static final double LOW = 0.5;
+  private static final double LOW_WATERMARK = 0.5;
 
   /**
    * High watermark: new requests are refused, since those in flight may still need as much again.
    */
-  private static final double HIGH = 0.75;
+  private static final double HIGH_WATERMARK = 0.75;
 
   /**
    * Memory of a message beside its bytes: buffers, chunk framing and listeners. Without it, small
    * unread events would take several times the memory that is counted.
    */
-  private static final int MESSAGE_BYTES = 512;
+  private static final int MESSAGE_OVERHEAD_BYTES = 512;
 
   /**
    * A share is the free space divided by this, so that many slow callers get smaller shares and
    * never take all of it.
    */
-  private static final int SHARE_PARTS = 16;
+  private static final int SHARE_DIVISOR = 16;
 
-  private static final long LEAST_SHARE = 4 << 10;
-  private static final long MOST_SHARE = 256 << 10;
+  private static final long MIN_SHARE_BYTES = 4 << 10;
+  private static final long MAX_SHARE_BYTES = 256 << 10;
 
   private final long bound;
   private final Runnable onFull;
@@ -131,13 +131,13 @@
    * Returns true below the low watermark: answers of callers that do not read may still be read.
    */
   public boolean hasRoom() {
-    return total < lowMark();
+    return total < lowWatermark();
   }
 
   /** Returns the unread bytes of one caller at which reading from its server is paused. */
   public long share() {
-    long free = Math.max(0, lowMark() - total);
-    return Math.min(MOST_SHARE, Math.max(LEAST_SHARE, free / SHARE_PARTS));
+    long free = Math.max(0, lowWatermark() - total);
+    return Math.min(MAX_SHARE_BYTES, Math.max(MIN_SHARE_BYTES, free / SHARE_DIVISOR));
   }
 
   /**
@@ -153,7 +153,7 @@
     }
     List<Holder> candidates = new ArrayList<>();
     for (Holder holder : holders) {
-      if (holder.end != null) {
+      if (holder.shedAction != null) {
         candidates.add(holder);
       }
     }
@@ -165,7 +165,7 @@
       if (holder.kind == Kind.ANSWERS ? hasRoom() : !isFull()) {
         break;
       }
-      Runnable action = holder.end;
+      Runnable action = holder.shedAction;
       if (action != null) {
         action.run();
         ended++;
@@ -174,12 +174,12 @@
     return ended;
   }
 
-  private long lowMark() {
-    return (long) (bound * LOW);
+  private long lowWatermark() {
+    return (long) (bound * LOW_WATERMARK);
   }
 
-  private long highMark() {
-    return (long) (bound * HIGH);
+  private long highWatermark() {
+    return (long) (bound * HIGH_WATERMARK);
   }
 
   private void change(Holder holder, long by) {
@@ -192,7 +192,7 @@
     } else {
       holders.add(holder);
     }
-    isShort = isShort ? total >= lowMark() : total >= highMark();
+    isShort = isShort ? total >= lowWatermark() : total >= highWatermark();
     if (isFull() && !wasFull) {
       onFull.run();
     }
@@ -202,7 +202,7 @@
   public final class Holder {
     private final Kind kind;
     private long bytes;
-    private @Nullable Runnable end;
+    private @Nullable Runnable shedAction;
 
     private Holder(Kind kind) {
       this.kind = kind;
@@ -210,7 +210,7 @@
 
     /** Returns the bytes to count for a message of {@code messageBytes}, including its overhead. */
     public long cost(int messageBytes) {
-      return messageBytes + (long) MESSAGE_BYTES;
+      return messageBytes + (long) MESSAGE_OVERHEAD_BYTES;
     }
 
     /** Returns the bytes that are held now. */
@@ -219,8 +219,8 @@
     }
 
     /** Sets the action that ends this holder; null while it must not be ended. */
-    public void endBy(@Nullable Runnable action) {
-      end = action;
+    public void setShedAction(@Nullable Runnable action) {
+      shedAction = action;
     }
 
     /** Adds bytes that are held from now on. */
--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/LateHere.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/LatenessCheck.java
@@ -22,21 +22,21 @@
  * the bottleneck: a request that would be late here can be in time at another VM if its caller goes
  * there at once. All other requests are served.
  */
-public final class LateHere {
+public final class LatenessCheck {
   /** Iterations of the event loop: one sends the request, one forwards its answer. */
-  private static final int TURNS = 2;
+  private static final int LOOP_PASSES = 2;
 
   /**
    * Iterations that are assumed for requests of the highest priority: they are refused only if they
    * are certainly late, and so after all others. They are not exempt, since a VM that they alone
    * overload would answer all of them late.
    */
-  private static final int TURNS_OF_URGENT = 1;
+  private static final int HIGHEST_PRIORITY_LOOP_PASSES = 1;
 
   /** Short, since another VM has capacity; long enough to open a connection to it. */
   private static final long RETRY_AFTER_MS = 50;
 
-  private LateHere() {}
+  private LatenessCheck() {}
 
   /**
    * Returns the refusal of a request, or null if it is to be served.
@@ -50,7 +50,8 @@
   public static @Nullable Refusal decide(
       long ageMs, double lagMs, long targetMs, long deadlineMs, boolean isHighestPriority) {
     long limitMs = Math.min(targetMs, deadlineMs);
-    double minLatencyMs = ageMs + (isHighestPriority ? TURNS_OF_URGENT : TURNS) * lagMs;
+    double minLatencyMs =
+        ageMs + (isHighestPriority ? HIGHEST_PRIORITY_LOOP_PASSES : LOOP_PASSES) * lagMs;
     if (minLatencyMs < limitMs) {
       return null;
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/ReadGate.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/ReadThrottle.java
@@ -21,71 +21,71 @@
  * buffered here. A server aborts an answer that stays unread for some seconds, so a paused server
  * is read a little now and then, while the VM has memory for it.
  */
-public final class ReadGate {
+public final class ReadThrottle {
   /** Interval of reads from a paused server, well below the time after which servers abort. */
-  private static final long READ_ON_AFTER_MS = 1_000;
+  private static final long PAUSED_READ_INTERVAL_MS = 1_000;
 
   /**
    * Callers abandon a stream after two seconds without an event, so a caller that read nothing for
    * this long has probably left; its server would abort the answer soon.
    */
-  private static final long TAKES_NOTHING_MS = 2_000;
+  private static final long STALLED_CALLER_MS = 2_000;
 
   /**
    * Reading resumes when the unread bytes fall to the share divided by this, so that a server is
    * not paused and resumed for each event.
    */
-  private static final int RESUME_PARTS = 4;
+  private static final int RESUME_DIVISOR = 4;
 
   private final HeldBytes held;
-  private boolean closed;
-  private long heldBackAtMs;
-  private long share;
+  private boolean paused;
+  private long pausedAtMs;
+  private long pauseShare;
 
   /** What to do with the connection to the server. */
-  public enum Reading {
+  public enum ReadAction {
     /** Continue as before. */
-    AS_BEFORE,
+    UNCHANGED,
     /** Stop reading. */
-    HOLD_BACK,
+    PAUSE,
     /** Resume reading. */
     RESUME,
     /** Read once, then stop again. */
-    ONE_PIECE
+    READ_ONCE
   }
 
   /** Creates a gate that lets data through; {@code held} counts the bytes that the VM holds. */
-  public ReadGate(HeldBytes held) {
+  public ReadThrottle(HeldBytes held) {
     this.held = held;
   }
 
   /** Returns true while reading from the server is paused. */
-  public boolean isClosed() {
-    return closed;
+  public boolean isPaused() {
+    return paused;
   }
 
   /** Decides after a change of the caller's unread bytes. */
-  public Reading changed(long unreadBytes, long nowMs) {
-    if (!closed && unreadBytes >= held.share()) {
-      closed = true;
-      share = held.share();
-      heldBackAtMs = nowMs;
-      return Reading.HOLD_BACK;
+  public ReadAction unreadBytesChanged(long unreadBytes, long nowMs) {
+    if (!paused && unreadBytes >= held.share()) {
+      paused = true;
+      pauseShare = held.share();
+      pausedAtMs = nowMs;
+      return ReadAction.PAUSE;
     }
-    if (closed && unreadBytes <= share / RESUME_PARTS) {
-      closed = false;
-      return Reading.RESUME;
+    if (paused && unreadBytes <= pauseShare / RESUME_DIVISOR) {
+      paused = false;
+      return ReadAction.RESUME;
     }
-    return Reading.AS_BEFORE;
+    return ReadAction.UNCHANGED;
   }
 
   /** Decides about a paused server; has to be called several times a second. */
-  public Reading look(long nowMs) {
-    if (!closed || !held.hasRoom() || nowMs - heldBackAtMs < READ_ON_AFTER_MS) {
-      return Reading.AS_BEFORE;
+  public ReadAction poll(long nowMs) {
+    if (!paused || !held.hasRoom() || nowMs - pausedAtMs < PAUSED_READ_INTERVAL_MS) {
+      return ReadAction.UNCHANGED;
     }
-    heldBackAtMs = nowMs;
-    return Reading.ONE_PIECE;
+    pausedAtMs = nowMs;
+    return ReadAction.READ_ONCE;
   }
 
   /**
@@ -94,7 +94,7 @@
    * @param lastReadAtMs when the caller last read some bytes; if later, when the first of the
    *     current bytes became unread
    */
-  public boolean isAway(long lastReadAtMs, long nowMs) {
-    return !held.hasRoom() && nowMs - lastReadAtMs >= TAKES_NOTHING_MS;
+  public boolean isCallerStalled(long lastReadAtMs, long nowMs) {
+    return !held.hasRoom() && nowMs - lastReadAtMs >= STALLED_CALLER_MS;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/Refusal.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/Refusal.java
@@ -19,7 +19,7 @@
  * Refusal of a request by a VM that is overloaded itself. The request was sent to no server.
  *
  * @param reason short name for metrics
- * @param why explanation for the caller and the log
+ * @param explanation explanation for the caller and the log
  * @param retryAfterMs time after which the caller may retry; another VM probably has capacity
  */
-public record Refusal(String reason, String why, long retryAfterMs) {}
+public record Refusal(String reason, String explanation, long retryAfterMs) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/VmLimits.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/VmLimits.java
@@ -29,40 +29,40 @@
    * The limit is the heap divided by this: held bytes are only one use of the heap, and are copied
    * when they are written.
    */
-  private static final int HEAP_PARTS = 4;
+  private static final int HEAP_DIVISOR = 4;
 
   /**
    * The limit is the memory divided by this; the rest is for the runtime, the operating system and
    * bytes that are not read yet.
    */
-  private static final int MEMORY_PARTS = 8;
+  private static final int MEMORY_DIVISOR = 8;
 
   /**
    * Callers wait about ten seconds at most. Bytes that the link cannot send within this time would
    * arrive after their callers have left.
    */
-  private static final double LINK_SECONDS = 10;
+  private static final double MAX_LINK_SECONDS = 10;
 
   /** The largest request body that a configuration may allow has to fit. */
-  private static final long LEAST_HELD_BYTES = 4 << 20;
+  private static final long MIN_HELD_BYTES = 4 << 20;
 
   /** Descriptors that are reserved for files. */
-  private static final int FILES = 200;
+  private static final int RESERVED_DESCRIPTORS = 200;
 
   private static final double CONNECTIONS_SHARE = 0.9;
   private static final double BYTES_PER_MBIT = 125_000;
   private static final long BYTES_PER_MB = 1 << 20;
 
   /** Returns the largest number of bytes that this VM may hold for callers and servers together. */
-  public long heldBound(long heapBytes) {
-    long bound = heapBytes / HEAP_PARTS;
+  public long maxHeldBytes(long heapBytes) {
+    long bound = heapBytes / HEAP_DIVISOR;
     if (memoryMb > 0) {
-      bound = Math.min(bound, memoryMb * BYTES_PER_MB / MEMORY_PARTS);
+      bound = Math.min(bound, memoryMb * BYTES_PER_MB / MEMORY_DIVISOR);
     }
     if (linkMbps > 0) {
-      bound = Math.min(bound, (long) (linkMbps * BYTES_PER_MBIT * LINK_SECONDS));
+      bound = Math.min(bound, (long) (linkMbps * BYTES_PER_MBIT * MAX_LINK_SECONDS));
     }
-    return Math.max(LEAST_HELD_BYTES, bound);
+    return Math.max(MIN_HELD_BYTES, bound);
   }
 
   /** Returns the largest number of connections, from callers and to servers together. */
@@ -70,6 +70,6 @@
     if (fileDescriptors == 0) {
       return Integer.MAX_VALUE;
     }
-    return (int) Math.max(1, CONNECTIONS_SHARE * (fileDescriptors - FILES));
+    return (int) Math.max(1, CONNECTIONS_SHARE * (fileDescriptors - RESERVED_DESCRIPTORS));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/protection/VmPressure.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/protection/VmPressure.java
@@ -36,10 +36,10 @@
   private static final double BUSY_CONNECTIONS = 0.8;
 
   /** Heap use after collections that leaves too little memory for the requests in flight. */
-  private static final double SHORT_HEAP = 0.85;
+  private static final double HEAP_SHORTAGE_SHARE = 0.85;
 
   /** A state is left only below this part of its thresholds. */
-  private static final double LEAVE = 0.5;
+  private static final double EXIT_SHARE = 0.5;
 
   /** One sample is not enough: it may contain a garbage collection or a suspension of the VM. */
   private static final int SAMPLES_TO_ENTER = 2;
@@ -47,9 +47,9 @@
   private static final int SAMPLES_TO_LEAVE = 3;
 
   private State state = State.NORMAL;
-  private int above;
-  private int below;
-  private int shortOfHeap;
+  private int samplesAbove;
+  private int samplesBelow;
+  private int samplesShortOfHeap;
 
   /** Load of a VM relative to its capacity. */
   public enum State {
@@ -81,13 +81,13 @@
 
   /** Adds a sample and returns the new state. */
   public State sample(Sample sample) {
-    shortOfHeap = sample.heapShare >= SHORT_HEAP ? shortOfHeap + 1 : 0;
-    State reached = reached(sample, 1);
-    above = reached.compareTo(state) > 0 ? above + 1 : 0;
-    below = reached(sample, LEAVE).compareTo(state) < 0 ? below + 1 : 0;
-    if (above >= SAMPLES_TO_ENTER) {
+    samplesShortOfHeap = sample.heapShare >= HEAP_SHORTAGE_SHARE ? samplesShortOfHeap + 1 : 0;
+    State reached = stateAt(sample, 1);
+    samplesAbove = reached.compareTo(state) > 0 ? samplesAbove + 1 : 0;
+    samplesBelow = stateAt(sample, EXIT_SHARE).compareTo(state) < 0 ? samplesBelow + 1 : 0;
+    if (samplesAbove >= SAMPLES_TO_ENTER) {
       enter(reached);
-    } else if (below >= SAMPLES_TO_LEAVE) {
+    } else if (samplesBelow >= SAMPLES_TO_LEAVE) {
       enter(state == State.OVERLOADED ? State.BUSY : State.NORMAL);
     }
     return state;
@@ -100,16 +100,16 @@
 
   /** Returns true while the heap is too full for new requests. */
   public boolean isShortOfHeap() {
-    return shortOfHeap >= SAMPLES_TO_ENTER;
+    return samplesShortOfHeap >= SAMPLES_TO_ENTER;
   }
 
   private void enter(State next) {
     state = next;
-    above = 0;
-    below = 0;
+    samplesAbove = 0;
+    samplesBelow = 0;
   }
 
-  private static State reached(Sample sample, double part) {
+  private static State stateAt(Sample sample, double part) {
     if (sample.lagMs >= part * OVERLOADED_LAG_MS) {
       return State.OVERLOADED;
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/quarantine/Quarantine.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/quarantine/Quarantine.java
@@ -44,48 +44,50 @@
  */
 public final class Quarantine {
   /** Number of server crashes after which a request is quarantined. */
-  public static final int MAX_ENDS = 3;
+  public static final int MAX_CRASHES = 3;
 
   /** How long a suspect is kept after its last crash; the servers may have been fixed by then. */
-  static final long KEPT_MS = 3_600_000;
+  static final long RETENTION_MS = 3_600_000;
 
   /** Maximum number of suspects: 64 from each of 30 crashed servers, which take half a megabyte. */
   static final int MAX_SUSPECTS = 2_000;
 
   /** Rounds in which a change is reported. On bad links one datagram in thirty is lost. */
-  private static final int TOLD_ROUNDS = 10;
+  private static final int REPORT_ROUNDS = 10;
 
   /**
    * Rounds in which a suspect with a single crash is reported. Most of these are suspects by
    * chance, and there are many of them when many servers crash together.
    */
-  private static final int TOLD_ROUNDS_OF_ONE_END = 3;
+  private static final int REPORT_ROUNDS_FOR_ONE_CRASH = 3;
 
   /** Rounds between reminders: reports of suspects that have not changed. */
-  private static final int REMIND_EVERY_ROUNDS = 10;
+  private static final int REMINDER_INTERVAL_ROUNDS = 10;
 
   /** Maximum number of suspects in one report. */
-  static final int MAX_TOLD = 40;
+  static final int MAX_REPORTED = 40;
 
   /** Maximum number of suspects that are not quarantined in one round of reminders. */
-  private static final int REMINDED = 10;
+  private static final int MAX_REMINDERS = 10;
 
   /** Order if not all fit: quarantined requests, then those that are due in the most rounds. */
-  private static final Comparator<Suspect> TOLD_FIRST =
-      Comparator.comparing(Quarantine::isHeld).thenComparingInt(Suspect::roundsToTell).reversed();
+  private static final Comparator<Suspect> REPORT_ORDER =
+      Comparator.comparing(Quarantine::hasReachedLimit)
+          .thenComparingInt(Suspect::remainingReportRounds)
+          .reversed();
 
   private final Ticker ticker;
   private final Map<RequestDigest, Suspect> suspects = new LinkedHashMap<>();
   private final Map<Integer, Integer> bodyLengths = new HashMap<>();
   private Consumer<Suspicion> listener = suspicion -> {};
-  private List<SuspectNews> told = List.of();
+  private List<SuspectReport> reportsOfRound = List.of();
   private long round;
 
   /** Kinds of changes of a suspect. */
   public enum Change {
     /** A server crash was added. */
     CHARGED,
-    /** The crashes reached {@link #MAX_ENDS}: the request is sent to no further server. */
+    /** The crashes reached {@link #MAX_CRASHES}: the request is sent to no further server. */
     QUARANTINED,
     /** The request succeeded, so earlier crashes no longer count. */
     CLEARED
@@ -94,11 +96,11 @@
   /**
    * A change of a suspect.
    *
-   * @param ends number of server crashes that count against the request now
+   * @param crashCount number of server crashes that count against the request now
    * @param seenHere true if this VM observed the change, false if another VM or the platform's
    *     store reported it
    */
-  public record Suspicion(RequestDigest digest, Change change, int ends, boolean seenHere) {}
+  public record Suspicion(RequestDigest digest, Change change, int crashCount, boolean seenHere) {}
 
   /** Creates an empty quarantine. */
   public Quarantine(Ticker ticker) {
@@ -106,7 +108,7 @@
   }
 
   /** Adds a listener for all further changes; it is called after those added before it. */
-  public void onChange(Consumer<Suspicion> next) {
+  public void addListener(Consumer<Suspicion> next) {
     listener = listener.andThen(next);
   }
 
@@ -114,40 +116,40 @@
    * Returns true if there is a suspect with a body of this length. Only then the digest of a
    * request is worth computing.
    */
-  public boolean mayKnow(int bodyBytes) {
+  public boolean mayContain(int bodyBytes) {
     return bodyLengths.containsKey(bodyBytes);
   }
 
   /** Returns true if a request is quarantined. */
-  public boolean holds(RequestDigest digest) {
+  public boolean isQuarantined(RequestDigest digest) {
     Suspect suspect = find(digest);
-    return suspect != null && isHeld(suspect);
+    return suspect != null && hasReachedLimit(suspect);
   }
 
-  private static boolean isHeld(Suspect suspect) {
-    return suspect.blamedFor() >= MAX_ENDS;
+  private static boolean hasReachedLimit(Suspect suspect) {
+    return suspect.crashCount() >= MAX_CRASHES;
   }
 
   /** Returns the number of server crashes that count against a request. */
-  public int ends(RequestDigest digest) {
+  public int crashCount(RequestDigest digest) {
     Suspect suspect = find(digest);
-    return suspect == null ? 0 : suspect.blamedFor();
+    return suspect == null ? 0 : suspect.crashCount();
   }
 
   /**
    * Returns the time in ms until a suspect expires if there are no further crashes, and 0 for a
    * request that is no suspect.
    */
-  public long leftMs(RequestDigest digest) {
+  public long remainingMs(RequestDigest digest) {
     Suspect suspect = find(digest);
-    return suspect == null ? 0 : suspect.lastMs() + KEPT_MS - ticker.millis();
+    return suspect == null ? 0 : suspect.lastCrashMs() + RETENTION_MS - ticker.millis();
   }
 
   /** Returns the suspect with a digest, or null; removes it if it has expired. */
   private @Nullable Suspect find(RequestDigest digest) {
     Suspect suspect = suspects.get(digest);
-    if (suspect != null && ticker.millis() - suspect.lastMs() > KEPT_MS) {
-      forget(suspect);
+    if (suspect != null && ticker.millis() - suspect.lastCrashMs() > RETENTION_MS) {
+      remove(suspect);
       return null;
     }
     return suspect;
@@ -158,38 +160,38 @@
    *
    * @param incarnation hash of the server's incarnation; each counts once
    */
-  public void charge(RequestDigest digest, long incarnation) {
+  public void recordCrash(RequestDigest digest, long incarnation) {
     long now = ticker.millis();
     Suspect suspect = findOrAdd(digest, now);
-    int crashesBefore = suspect.blamedFor();
-    if (suspect.charge(incarnation, now)) {
-      changed(suspect, crashesBefore, true);
+    int crashesBefore = suspect.crashCount();
+    if (suspect.addCrash(incarnation, now)) {
+      onChanged(suspect, crashesBefore, true);
     }
   }
 
   /** Records that a request succeeded, so it does not crash every server that runs it. */
-  public void endedWell(RequestDigest digest) {
+  public void recordSuccess(RequestDigest digest) {
     Suspect suspect = find(digest);
     if (suspect == null) {
       return;
     }
-    int crashesBefore = suspect.blamedFor();
+    int crashesBefore = suspect.crashCount();
     if (suspect.clear()) {
-      changed(suspect, crashesBefore, true);
+      onChanged(suspect, crashesBefore, true);
     }
   }
 
   /** Merges suspects that another VM or the platform's store reports; expired ones are ignored. */
-  public void heard(List<SuspectNews> reports) {
+  public void receive(List<SuspectReport> reports) {
     long now = ticker.millis();
-    for (SuspectNews report : reports) {
-      if (report.agoMs() > KEPT_MS || report.agoMs() < 0) {
+    for (SuspectReport report : reports) {
+      if (report.ageMs() > RETENTION_MS || report.ageMs() < 0) {
         continue;
       }
-      Suspect suspect = findOrAdd(report.digest(), now - report.agoMs());
-      int crashesBefore = suspect.blamedFor();
-      if (suspect.join(report, now)) {
-        changed(suspect, crashesBefore, false);
+      Suspect suspect = findOrAdd(report.digest(), now - report.ageMs());
+      int crashesBefore = suspect.crashCount();
+      if (suspect.merge(report, now)) {
+        onChanged(suspect, crashesBefore, false);
       }
     }
   }
@@ -200,7 +202,7 @@
       return known;
     }
     if (suspects.size() >= MAX_SUSPECTS) {
-      forgetLeast();
+      evictOne();
     }
     Suspect added = new Suspect(digest, atMs);
     suspects.put(digest, added);
@@ -209,21 +211,21 @@
   }
 
   /** Evicts the suspect with the fewest crashes, among those the one whose last crash is oldest. */
-  private void forgetLeast() {
+  private void evictOne() {
     suspects.values().stream()
-        .min(Comparator.comparingInt(Suspect::blamedFor).thenComparingLong(Suspect::lastMs))
-        .ifPresent(this::forget);
+        .min(Comparator.comparingInt(Suspect::crashCount).thenComparingLong(Suspect::lastCrashMs))
+        .ifPresent(this::remove);
   }
 
-  private void forget(Suspect suspect) {
+  private void remove(Suspect suspect) {
     suspects.remove(suspect.digest());
     bodyLengths.computeIfPresent(
         suspect.digest().bodyBytes(), (length, count) -> count == 1 ? null : count - 1);
   }
 
-  private void changed(Suspect suspect, int crashesBefore, boolean seenHere) {
-    int crashes = suspect.blamedFor();
-    suspect.tellFor(crashes > 1 ? TOLD_ROUNDS : TOLD_ROUNDS_OF_ONE_END);
+  private void onChanged(Suspect suspect, int crashesBefore, boolean seenHere) {
+    int crashes = suspect.crashCount();
+    suspect.setReportRounds(crashes > 1 ? REPORT_ROUNDS : REPORT_ROUNDS_FOR_ONE_CRASH);
     Change change = change(crashesBefore, crashes);
     if (change != null) {
       listener.accept(new Suspicion(suspect.digest(), change, crashes, seenHere));
@@ -237,38 +239,40 @@
     if (crashes < crashesBefore) {
       return Change.CLEARED;
     }
-    return crashesBefore < MAX_ENDS && crashes >= MAX_ENDS ? Change.QUARANTINED : Change.CHARGED;
+    return crashesBefore < MAX_CRASHES && crashes >= MAX_CRASHES
+        ? Change.QUARANTINED
+        : Change.CHARGED;
   }
 
   /** Begins a round and selects the suspects that it reports, quarantined ones first. */
   public void nextRound() {
     round++;
     if (suspects.isEmpty()) {
-      told = List.of();
+      reportsOfRound = List.of();
       return;
     }
     Set<Suspect> due = new LinkedHashSet<>();
     for (Suspect suspect : suspects.values()) {
-      if (suspect.roundsToTell() > 0) {
+      if (suspect.remainingReportRounds() > 0) {
         due.add(suspect);
       }
     }
-    if (round % REMIND_EVERY_ROUNDS == 0) {
-      forgetOld();
+    if (round % REMINDER_INTERVAL_ROUNDS == 0) {
+      removeExpired();
       due.addAll(reminders());
     }
     List<Suspect> chosen = new ArrayList<>(due);
-    chosen.sort(TOLD_FIRST);
+    chosen.sort(REPORT_ORDER);
     long now = ticker.millis();
-    List<SuspectNews> reports = new ArrayList<>();
-    for (Suspect suspect : chosen.subList(0, Math.min(MAX_TOLD, chosen.size()))) {
-      reports.add(suspect.news(now));
-      suspect.tellFor(Math.max(0, suspect.roundsToTell() - 1));
+    List<SuspectReport> reports = new ArrayList<>();
+    for (Suspect suspect : chosen.subList(0, Math.min(MAX_REPORTED, chosen.size()))) {
+      reports.add(suspect.toReport(now));
+      suspect.setReportRounds(Math.max(0, suspect.remainingReportRounds() - 1));
     }
-    told = reports;
+    reportsOfRound = reports;
   }
 
-  private void forgetOld() {
+  private void removeExpired() {
     List.copyOf(suspects.keySet()).forEach(this::find);
   }
 
@@ -279,54 +283,54 @@
     List<Suspect> reminders = new ArrayList<>();
     int others = 0;
     for (Suspect suspect : suspects.values()) {
-      if (isHeld(suspect) || others++ < REMINDED) {
+      if (hasReachedLimit(suspect) || others++ < MAX_REMINDERS) {
         reminders.add(suspect);
       }
     }
-    reminders.forEach(this::toTheEnd);
+    reminders.forEach(this::moveToEnd);
     return reminders;
   }
 
   /** Moves a suspect to the end, so that the next reminders contain others first. */
-  private void toTheEnd(Suspect suspect) {
+  private void moveToEnd(Suspect suspect) {
     suspects.remove(suspect.digest());
     suspects.put(suspect.digest(), suspect);
   }
 
   /** Returns the reports of this round. */
-  public List<SuspectNews> news() {
-    return told;
+  public List<SuspectReport> currentReports() {
+    return reportsOfRound;
   }
 
   /**
    * Returns the report of a quarantined request that is not yet in the platform's store, or null if
    * the request is not quarantined or is stored already.
    */
-  @Nullable SuspectNews unsaved(RequestDigest digest) {
+  @Nullable SuspectReport unsavedReport(RequestDigest digest) {
     Suspect suspect = find(digest);
-    if (suspect == null || !isHeld(suspect) || suspect.isSaved()) {
+    if (suspect == null || !hasReachedLimit(suspect) || suspect.isSaved()) {
       return null;
     }
-    return suspect.news(ticker.millis());
+    return suspect.toReport(ticker.millis());
   }
 
   /** Returns the reports of all quarantined requests. */
-  List<SuspectNews> held() {
-    List<SuspectNews> reports = new ArrayList<>();
+  List<SuspectReport> quarantinedReports() {
+    List<SuspectReport> reports = new ArrayList<>();
     for (Suspect suspect : suspects.values()) {
-      if (isHeld(suspect)) {
-        reports.add(suspect.news(ticker.millis()));
+      if (hasReachedLimit(suspect)) {
+        reports.add(suspect.toReport(ticker.millis()));
       }
     }
     return reports;
   }
 
   /** Records that the platform's store has a request, and reports this to other VMs. */
-  void saved(RequestDigest digest) {
+  void markSaved(RequestDigest digest) {
     Suspect suspect = find(digest);
     if (suspect != null && !suspect.isSaved()) {
       suspect.saved();
-      suspect.tellFor(TOLD_ROUNDS);
+      suspect.setReportRounds(REPORT_ROUNDS);
     }
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/quarantine/QuarantineArchive.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/quarantine/QuarantineArchive.java
@@ -43,37 +43,37 @@
   static final String KEY = "quarantine/requests";
 
   /** Maximum number of stored requests, the newest ones: about 30 kB; an object may have 1 MB. */
-  static final int MAX_KEPT = 200;
+  static final int MAX_STORED = 200;
 
   /**
    * Delay before VMs write a request that another VM quarantined. The VM that saw the last crash
    * writes at once; the others write only if it was lost before it could.
    */
-  private static final long OTHERS_AFTER_MS = 1_000;
+  private static final long FALLBACK_WRITE_DELAY_MS = 1_000;
 
   /** Random part of that delay, so that one VM writes first and the others find it stored. */
-  private static final int OTHERS_SPREAD_MS = 3_000;
+  private static final int WRITE_JITTER_MS = 3_000;
 
   /** Delay between attempts while the store is out; a VM that starts needs it within seconds. */
   private static final long RETRY_MS = 500;
 
   /** Attempts of a write that conflicts with other VMs' writes, before {@link #RETRY_MS} passes. */
-  private static final int CONFLICTS = 4;
+  private static final int MAX_WRITE_ATTEMPTS = 4;
 
   private static final Logger log = LoggerFactory.getLogger("quarantine");
 
   private final ObjectApi api;
   private final Quarantine quarantine;
   private final Executor loop;
-  private final Later later;
-  private final LongSupplier timeOfDay;
+  private final Scheduler scheduler;
+  private final LongSupplier unixClock;
   private final RandomGenerator random;
-  private final Executor calls;
+  private final Executor callExecutor;
 
   /** Runs a task on the event loop after a delay. */
   @FunctionalInterface
-  public interface Later {
-    void run(long delayMs, Runnable task);
+  public interface Scheduler {
+    void schedule(long delayMs, Runnable task);
   }
 
   /** Value of the stored object. */
@@ -97,7 +97,7 @@
       RequestDigest.parse(digest, bodyBytes);
     }
 
-    RequestDigest request() {
+    RequestDigest toDigest() {
       return RequestDigest.parse(digest, bodyBytes);
     }
   }
@@ -115,15 +115,15 @@
       Quarantine quarantine,
       Executor calls,
       Executor loop,
-      Later later,
+      Scheduler later,
       LongSupplier timeOfDay,
       RandomGenerator random) {
     this.api = api;
     this.quarantine = quarantine;
-    this.calls = calls;
+    this.callExecutor = calls;
     this.loop = loop;
-    this.later = later;
-    this.timeOfDay = timeOfDay;
+    this.scheduler = later;
+    this.unixClock = timeOfDay;
     this.random = random;
   }
 
@@ -132,60 +132,62 @@
    * on the event loop.
    */
   public void start() {
-    quarantine.onChange(this::changed);
-    calls.execute(this::read);
+    quarantine.addListener(this::onChanged);
+    callExecutor.execute(this::read);
   }
 
-  private void changed(Suspicion suspicion) {
+  private void onChanged(Suspicion suspicion) {
     if (suspicion.change() != Change.QUARANTINED) {
       return;
     }
-    long delayMs = suspicion.seenHere() ? 0 : OTHERS_AFTER_MS + random.nextInt(OTHERS_SPREAD_MS);
-    later.run(delayMs, () -> saveIfDue(suspicion.digest()));
+    long delayMs =
+        suspicion.seenHere() ? 0 : FALLBACK_WRITE_DELAY_MS + random.nextInt(WRITE_JITTER_MS);
+    scheduler.schedule(delayMs, () -> saveIfMissing(suspicion.digest()));
   }
 
   /**
    * Writes all quarantined requests again, since the store was rolled back to an older copy. Any
    * thread may call it. A request that the store still has costs one read.
    */
-  public void storeRewound() {
+  public void onStoreRolledBack() {
     loop.execute(
         () -> {
-          for (SuspectNews report : quarantine.held()) {
-            later.run(random.nextInt(OTHERS_SPREAD_MS), () -> calls.execute(() -> save(report)));
+          for (SuspectReport report : quarantine.quarantinedReports()) {
+            scheduler.schedule(
+                random.nextInt(WRITE_JITTER_MS), () -> callExecutor.execute(() -> save(report)));
           }
         });
   }
 
-  private void saveIfDue(RequestDigest digest) {
-    SuspectNews report = quarantine.unsaved(digest);
+  private void saveIfMissing(RequestDigest digest) {
+    SuspectReport report = quarantine.unsavedReport(digest);
     if (report != null) {
-      calls.execute(() -> save(report));
+      callExecutor.execute(() -> save(report));
     }
   }
 
   private void read() {
     try {
-      List<SuspectNews> reports = new ArrayList<>();
-      for (StoredRequest request : stored(api.read(CallClass.CONFIGURATION, KEY))) {
-        reports.add(news(request));
+      List<SuspectReport> reports = new ArrayList<>();
+      for (StoredRequest request : parse(api.read(CallClass.CONFIGURATION, KEY))) {
+        reports.add(toReport(request));
       }
-      loop.execute(() -> quarantine.heard(reports));
+      loop.execute(() -> quarantine.receive(reports));
     } catch (PlatformException e) {
-      loop.execute(() -> later.run(RETRY_MS, () -> calls.execute(this::read)));
+      loop.execute(() -> scheduler.schedule(RETRY_MS, () -> callExecutor.execute(this::read)));
     }
   }
 
-  private SuspectNews news(StoredRequest request) {
-    long agoMs = Math.max(0, timeOfDay.getAsLong() - request.lastMs());
-    return new SuspectNews(request.request(), request.ended(), List.of(), agoMs, true);
+  private SuspectReport toReport(StoredRequest request) {
+    long agoMs = Math.max(0, unixClock.getAsLong() - request.lastMs());
+    return new SuspectReport(request.toDigest(), request.ended(), List.of(), agoMs, true);
   }
 
   /**
    * Returns the stored requests; none if there is no object or it is unreadable. The next write
    * replaces an unreadable object, which identifies no request.
    */
-  private static List<StoredRequest> stored(Optional<StoredObject> object) {
+  private static List<StoredRequest> parse(Optional<StoredObject> object) {
     if (object.isEmpty()) {
       return List.of();
     }
@@ -199,11 +201,11 @@
     }
   }
 
-  private void save(SuspectNews report) {
+  private void save(SuspectReport report) {
     try {
-      for (int attempts = 0; attempts < CONFLICTS; attempts++) {
+      for (int attempts = 0; attempts < MAX_WRITE_ATTEMPTS; attempts++) {
         if (tryWrite(report)) {
-          loop.execute(() -> quarantine.saved(report.digest()));
+          loop.execute(() -> quarantine.markSaved(report.digest()));
           return;
         }
       }
@@ -213,7 +215,7 @@
           report.digest().hex(),
           e);
     }
-    loop.execute(() -> later.run(RETRY_MS, () -> saveIfDue(report.digest())));
+    loop.execute(() -> scheduler.schedule(RETRY_MS, () -> saveIfMissing(report.digest())));
   }
 
   /**
@@ -221,20 +223,21 @@
    *
    * @return false if another VM wrote in between
    */
-  private boolean tryWrite(SuspectNews report) {
+  private boolean tryWrite(SuspectReport report) {
     Optional<StoredObject> object = api.read(CallClass.STATUS, KEY);
-    List<StoredRequest> stored = stored(object);
+    List<StoredRequest> stored = parse(object);
     String hex = report.digest().hex();
     if (stored.stream().anyMatch(request -> request.digest().equals(hex))) {
       return true;
     }
-    long now = timeOfDay.getAsLong();
+    long now = unixClock.getAsLong();
     List<StoredRequest> kept = new ArrayList<>(stored);
     kept.add(
-        new StoredRequest(hex, report.digest().bodyBytes(), report.ended(), now - report.agoMs()));
-    kept.removeIf(request -> now - request.lastMs() > Quarantine.KEPT_MS);
+        new StoredRequest(
+            hex, report.digest().bodyBytes(), report.crashedServers(), now - report.ageMs()));
+    kept.removeIf(request -> now - request.lastMs() > Quarantine.RETENTION_MS);
     kept.sort(Comparator.comparingLong(StoredRequest::lastMs).reversed());
-    String value = Json.write(new Stored(kept.subList(0, Math.min(MAX_KEPT, kept.size()))));
+    String value = Json.write(new Stored(kept.subList(0, Math.min(MAX_STORED, kept.size()))));
     try {
       api.write(
           CallClass.STATUS, KEY, value, object.map(StoredObject::version).orElse(ObjectApi.ABSENT));
--- a/landingtrack/src/main/java/org/landingtrack/internal/quarantine/Suspect.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/quarantine/Suspect.java
@@ -25,23 +25,23 @@
    * Maximum number of crashes that are recorded for one request. Three suffice for the quarantine;
    * a request that succeeds after twelve is not the cause of the crashes.
    */
-  private static final int MAX_KNOWN_ENDS = 12;
+  private static final int MAX_RECORDED_CRASHES = 12;
 
   private final RequestDigest digest;
 
   /** Hashes of the crashed servers' incarnations. */
-  private final Set<Long> ended = new LinkedHashSet<>();
+  private final Set<Long> crashedServers = new LinkedHashSet<>();
 
-  /** Those of {@link #ended} that no longer count, since the request succeeded later. */
-  private final Set<Long> cleared = new LinkedHashSet<>();
+  /** Those of {@link #crashedServers} that no longer count, since the request succeeded later. */
+  private final Set<Long> clearedServers = new LinkedHashSet<>();
 
-  private long lastMs;
+  private long lastCrashMs;
   private boolean saved;
-  private int roundsToTell;
+  private int remainingReportRounds;
 
   Suspect(RequestDigest digest, long nowMs) {
     this.digest = digest;
-    this.lastMs = nowMs;
+    this.lastCrashMs = nowMs;
   }
 
   RequestDigest digest() {
@@ -49,50 +49,54 @@
   }
 
   /** Returns the number of crashes that count against the request. */
-  int blamedFor() {
+  int crashCount() {
     int count = 0;
-    for (long incarnation : ended) {
-      count += cleared.contains(incarnation) ? 0 : 1;
+    for (long incarnation : crashedServers) {
+      count += clearedServers.contains(incarnation) ? 0 : 1;
     }
     return count;
   }
 
   /** Records a crash of a server; returns false if it is known or there are too many. */
-  boolean charge(long incarnation, long atMs) {
-    if (ended.size() >= MAX_KNOWN_ENDS || !ended.add(incarnation)) {
+  boolean addCrash(long incarnation, long atMs) {
+    if (crashedServers.size() >= MAX_RECORDED_CRASHES || !crashedServers.add(incarnation)) {
       return false;
     }
-    lastMs = Math.max(lastMs, atMs);
+    lastCrashMs = Math.max(lastCrashMs, atMs);
     return true;
   }
 
   /** Records that the request succeeded; returns true if any crash counted against it. */
   boolean clear() {
-    return cleared.addAll(ended);
+    return clearedServers.addAll(crashedServers);
   }
 
   /** Merges the report of another VM or the platform's store; returns true if any of it is new. */
-  boolean join(SuspectNews report, long nowMs) {
+  boolean merge(SuspectReport report, long nowMs) {
     boolean changed = !saved && report.saved();
     saved |= report.saved();
-    for (long incarnation : report.ended()) {
-      changed |= charge(incarnation, nowMs - report.agoMs());
+    for (long incarnation : report.crashedServers()) {
+      changed |= addCrash(incarnation, nowMs - report.ageMs());
     }
-    for (long incarnation : report.cleared()) {
-      changed |= ended.contains(incarnation) && cleared.add(incarnation);
+    for (long incarnation : report.clearedServers()) {
+      changed |= crashedServers.contains(incarnation) && clearedServers.add(incarnation);
     }
     return changed;
   }
 
   /** Returns the report for other VMs. */
-  SuspectNews news(long nowMs) {
-    return new SuspectNews(
-        digest, List.copyOf(ended), List.copyOf(cleared), Math.max(0, nowMs - lastMs), saved);
+  SuspectReport toReport(long nowMs) {
+    return new SuspectReport(
+        digest,
+        List.copyOf(crashedServers),
+        List.copyOf(clearedServers),
+        Math.max(0, nowMs - lastCrashMs),
+        saved);
   }
 
   /** Returns the time of the last crash. */
-  long lastMs() {
-    return lastMs;
+  long lastCrashMs() {
+    return lastCrashMs;
   }
 
   /** Returns true if the platform's store has the request. */
@@ -106,12 +110,12 @@
   }
 
   /** Sets the number of further rounds in which the request is reported to other VMs. */
-  void tellFor(int rounds) {
-    roundsToTell = rounds;
+  void setReportRounds(int rounds) {
+    remainingReportRounds = rounds;
   }
 
   /** Returns the number of further rounds in which the request is reported. */
-  int roundsToTell() {
-    return roundsToTell;
+  int remainingReportRounds() {
+    return remainingReportRounds;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/quarantine/SuspectNews.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/quarantine/SuspectReport.java
@@ -21,15 +21,20 @@
  * Report on a request that was in flight at servers when these crashed, as VMs exchange it. Two
  * reports on one request merge to the union of both, so neither their order nor repetition matters.
  *
- * @param ended hashes of the crashed servers' incarnations
- * @param cleared those of them that no longer count, since the request succeeded elsewhere later
- * @param agoMs time since the last crash, in ms
+ * @param crashedServers hashes of the crashed servers' incarnations
+ * @param clearedServers those of them that no longer count, since the request succeeded elsewhere
+ *     later
+ * @param ageMs time since the last crash, in ms
  * @param saved true if the platform's store has the request
  */
-public record SuspectNews(
-    RequestDigest digest, List<Long> ended, List<Long> cleared, long agoMs, boolean saved) {
-  public SuspectNews {
-    ended = List.copyOf(ended);
-    cleared = List.copyOf(cleared);
+public record SuspectReport(
+    RequestDigest digest,
+    List<Long> crashedServers,
+    List<Long> clearedServers,
+    long ageMs,
+    boolean saved) {
+  public SuspectReport {
+    crashedServers = List.copyOf(crashedServers);
+    clearedServers = List.copyOf(clearedServers);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/retry/FleetRetries.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/retry/FleetRetryBudget.java
@@ -32,14 +32,14 @@
  * use. What it knows of other VMs is some tenths of a second old; without load reports each VM has
  * its own share. Not thread-safe.
  */
-public final class FleetRetries {
+public final class FleetRetryBudget {
   private final Ticker ticker;
-  private final RetryTerms terms;
+  private final RetryBudgetPolicy terms;
   private final IntSupplier vms;
   private final long salt;
   private final long startedAtMs;
   private final FleetTallies sums;
-  private final Map<String, ServiceBudget> budgets = new HashMap<>();
+  private final Map<String, ServiceRetryBudget> budgets = new HashMap<>();
   private final Map<String, Long> keys = new HashMap<>();
 
   /**
@@ -51,9 +51,9 @@
    * @param salt a value that differs from VM to VM
    * @param tally starts to report this VM's counts to the others, and returns the sums
    */
-  public FleetRetries(
+  public FleetRetryBudget(
       Ticker ticker,
-      RetryTerms terms,
+      RetryBudgetPolicy terms,
       IntSupplier vms,
       long salt,
       Function<Supplier<List<Tally>>, FleetTallies> tally) {
@@ -62,13 +62,13 @@
     this.vms = vms;
     this.salt = salt;
     this.startedAtMs = ticker.millis();
-    this.sums = tally.apply(this::own);
+    this.sums = tally.apply(this::ownTallies);
   }
 
-  private List<Tally> own() {
+  private List<Tally> ownTallies() {
     List<Tally> tallies = new ArrayList<>();
     budgets.forEach(
-        (service, budget) -> tallies.add(budget.tell(others(service), ticker.millis())));
+        (service, budget) -> tallies.add(budget.report(others(service), ticker.millis())));
     return tallies;
   }
 
@@ -76,16 +76,17 @@
     return sums.others(keys.computeIfAbsent(service, Hashes::placement));
   }
 
-  private ServiceBudget budget(String service) {
+  private ServiceRetryBudget budget(String service) {
     return budgets.computeIfAbsent(
         service,
         name ->
-            new ServiceBudget(Hashes.placement(name), terms, startedAtMs, salt, ticker.millis()));
+            new ServiceRetryBudget(
+                Hashes.placement(name), terms, startedAtMs, salt, ticker.millis()));
   }
 
   /** Counts a request to a service. */
-  public void request(String service) {
-    budget(service).request(ticker.millis());
+  public void recordRequest(String service) {
+    budget(service).recordRequest(ticker.millis());
   }
 
   /** Takes one retry from a service's budget; returns false if none is available now. */
@@ -101,7 +102,7 @@
   /** Returns how many retries were denied. */
   public long denied() {
     long denied = 0;
-    for (ServiceBudget budget : budgets.values()) {
+    for (ServiceRetryBudget budget : budgets.values()) {
       denied += budget.denied();
     }
     return denied;
--- a/landingtrack/src/main/java/org/landingtrack/internal/retry/RetryShares.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/retry/RetryAllocation.java
@@ -22,7 +22,7 @@
  * <p>Handles two cases: a server fails and all VMs want to retry at the same moment, before they
  * learn of each other's retries; or a single VM wants to retry and the others have no need.
  */
-final class RetryShares {
+final class RetryAllocation {
   /**
    * Length of a slot. All VMs learn of a retry within 0.4 s, so that at most two slots end before
    * they know of it.
@@ -39,7 +39,7 @@
    * Usable share of the budget. The rest covers repeated calls of runs, which no VM can tell from
    * other requests.
    */
-  private static final double USED = 0.9;
+  private static final double USABLE_SHARE = 0.9;
 
   /**
    * Demand in retries a second that is assumed of a VM without any, so that it can send its first
@@ -47,27 +47,29 @@
    */
   private static final double FLOOR_NEED = 0.5;
 
-  private RetryShares() {}
+  private RetryAllocation() {}
 
   /**
    * What is known of a service.
    *
    * @param requests the requests in the window, of the VMs that report
    * @param spent the retries that all VMs may have sent in the window
-   * @param ownNeed the retries a second that this VM wants, as known to the others
-   * @param allNeed the retries a second that all VMs want
+   * @param ownDemand the retries a second that this VM wants, as known to the others
+   * @param totalDemand the retries a second that all VMs want
    * @param heard the number of VMs that report, including this one
    * @param vms an upper bound of the number of VMs
    */
-  record View(double requests, double spent, double ownNeed, double allNeed, int heard, int vms) {}
+  record BudgetView(
+      double requests, double spent, double ownDemand, double totalDemand, int heard, int vms) {}
 
   /** Returns the mean number of retries that this VM may send in one slot. */
-  static double inSlot(RetryTerms terms, View view) {
+  static double allowance(RetryBudgetPolicy terms, BudgetView view) {
     double partOfExtra = Math.min(1, (double) view.heard() / view.vms());
-    double budget = USED * (terms.share() * view.requests() + terms.extra() * partOfExtra);
+    double budget =
+        USABLE_SHARE * (terms.retriesPerRequest() * view.requests() + terms.extra() * partOfExtra);
     double remaining = budget - view.spent() - Math.sqrt(view.heard());
-    double need = view.ownNeed() + FLOOR_NEED;
-    double all = Math.max(need, view.allNeed() + FLOOR_NEED * view.heard());
+    double need = view.ownDemand() + FLOOR_NEED;
+    double all = Math.max(need, view.totalDemand() + FLOOR_NEED * view.heard());
     return Math.max(0, remaining) * SLOT_SHARE * need / all;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/retry/RetryTerms.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/retry/RetryBudgetPolicy.java
@@ -19,8 +19,8 @@
  * The retry budget of a service: what all VMs together may send beyond the first attempt of each
  * request.
  *
- * @param share the retries allowed for each request in the window
+ * @param retriesPerRequest the retries allowed for each request in the window
  * @param extra the retries allowed in addition, whatever the number of requests
  * @param windowMs the length of the sliding window; the budget holds for any span of this length
  */
-public record RetryTerms(double share, double extra, long windowMs) {}
+public record RetryBudgetPolicy(double retriesPerRequest, double extra, long windowMs) {}
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/BaselinePolicies.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/BaselinePolicies.java
@@ -31,10 +31,10 @@
   public static RoutingPolicy roundRobin() {
     AtomicLong turn = new AtomicLong();
     return query -> {
-      List<ServerView> usable = usable(query);
+      List<ServerSnapshot> usable = usable(query);
       int size = Math.max(1, usable.size());
       int first = (int) Math.floorMod(turn.getAndIncrement(), (long) size);
-      List<ServerView> rotated =
+      List<ServerSnapshot> rotated =
           new ArrayList<>(usable.subList(Math.min(first, usable.size()), usable.size()));
       rotated.addAll(usable.subList(0, Math.min(first, usable.size())));
       return decision(query, rotated);
@@ -46,7 +46,7 @@
    * with pseudo-random order among equals.
    */
   public static RoutingPolicy leastLoaded() {
-    return by(
+    return ascending(
         server ->
             (double) Math.max(server.inFlight(), server.report().running())
                 / server.maxConcurrent());
@@ -55,14 +55,16 @@
   /** Returns a policy that orders the servers by rendezvous hash of the prompt's first block. */
   public static RoutingPolicy prefixHash() {
     return query ->
-        decision(query, Hashes.rendezvous(query.chain().group(), usable(query), ServerView::name));
+        decision(
+            query,
+            Hashes.rendezvous(query.chain().groupKey(), usable(query), ServerSnapshot::name));
   }
 
-  private static RoutingPolicy by(ToDoubleFunction<ServerView> load) {
+  private static RoutingPolicy ascending(ToDoubleFunction<ServerSnapshot> load) {
     AtomicLong turn = new AtomicLong();
     return query -> {
       String salt = Long.toString(turn.getAndIncrement());
-      List<ServerView> ordered = usable(query);
+      List<ServerSnapshot> ordered = usable(query);
       ordered.sort(
           Comparator.comparingDouble(load)
               .thenComparing(server -> Hashes.placement(salt, server.name())));
@@ -70,9 +72,9 @@
     };
   }
 
-  private static List<ServerView> usable(RouteQuery query) {
-    List<ServerView> usable = new ArrayList<>();
-    for (ServerView server : query.servers()) {
+  private static List<ServerSnapshot> usable(RouteQuery query) {
+    List<ServerSnapshot> usable = new ArrayList<>();
+    for (ServerSnapshot server : query.servers()) {
       if (server.isUsable()) {
         usable.add(server);
       }
@@ -80,10 +82,10 @@
     return usable;
   }
 
-  private static RouteDecision decision(RouteQuery query, List<ServerView> ordered) {
+  private static RouteDecision decision(RouteQuery query, List<ServerSnapshot> ordered) {
     List<RouteOption> options = new ArrayList<>();
-    for (ServerView server : ordered) {
-      options.add(CostModel.option(query, server, Reuse.local(0), 0));
+    for (ServerSnapshot server : ordered) {
+      options.add(CostModel.estimate(query, server, Reuse.cachedOnly(0), 0));
     }
     return new RouteDecision(options, List.of());
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/CostPolicy.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/CostPolicy.java
@@ -30,23 +30,23 @@
 /**
  * Selects the option with the lowest estimated cost among a few candidates. The default policy.
  *
- * <p>Candidates are the servers that have blocks of the prompt cached, the first {@link #HASHED}
- * servers by rendezvous hash of the prompt's first block (the likely place of the prompt if no
- * holder is known), and the less loaded servers of random pairs. Apart from one cheap scan, the
- * work for a decision therefore does not grow with the number of servers.
+ * <p>Candidates are the servers that have blocks of the prompt cached, the first {@link
+ * #HASHED_CANDIDATES} servers by rendezvous hash of the prompt's first block (the likely place of
+ * the prompt if no holder is known), and the less loaded servers of random pairs. Apart from one
+ * cheap scan, the work for a decision therefore does not grow with the number of servers.
  */
 public final class CostPolicy implements RoutingPolicy {
   /** Number of candidates by rendezvous hash. */
-  static final int HASHED = 2;
+  static final int HASHED_CANDIDATES = 2;
 
   /** Number of random pairs of servers; the less loaded one of each is a candidate. */
-  private static final int SAMPLED = 4;
+  private static final int SAMPLED_CANDIDATES = 4;
 
   /** Up to this number of servers, all of them are candidates. */
-  private static final int CONSIDER_ALL = 24;
+  private static final int MAX_SERVERS_WITHOUT_SAMPLING = 24;
 
   /** Costs that are equal after rounding to a multiple of this are tied. */
-  private static final double TIE = 1e-6;
+  private static final double COST_RESOLUTION = 1e-6;
 
   private static final Holder NO_HOLDER = new Holder("", 0, "");
 
@@ -59,12 +59,12 @@
   @Override
   public RouteDecision decide(RouteQuery query) {
     List<String> rejected = new ArrayList<>();
-    Map<String, Integer> cachedDepth = heldDepths(query);
-    Holder stored = bestKept(query);
-    ServerView[] hashed = hashed(query);
+    Map<String, Integer> cachedDepth = cachedDepths(query);
+    Holder stored = deepestStored(query);
+    ServerSnapshot[] hashed = hashedServers(query);
     String preferred = query.servers().isEmpty() ? "" : hashed[0].name();
     List<RouteOption> options = new ArrayList<>();
-    for (ServerView server : candidates(query, cachedDepth, hashed)) {
+    for (ServerSnapshot server : candidates(query, cachedDepth, hashed)) {
       if (!server.isUsable()) {
         rejected.add(server.name() + ": not usable, ejected after failures or leaving.");
         continue;
@@ -73,14 +73,14 @@
       // The first server by rendezvous hash is the prompt's own place. A copy on another server
       // evicts blocks of other prompts.
       int evicted = server.name().equals(preferred) ? 0 : query.chain().depth() - cached;
-      options.add(CostModel.option(query, server, Reuse.local(cached), evicted));
+      options.add(CostModel.estimate(query, server, Reuse.cachedOnly(cached), evicted));
       addRestore(query, server, cached, evicted, stored, options, rejected);
     }
-    sort(options, query);
+    sortByCost(options, query);
     return new RouteDecision(options, rejected);
   }
 
-  private static Map<String, Integer> heldDepths(RouteQuery query) {
+  private static Map<String, Integer> cachedDepths(RouteQuery query) {
     Map<String, Integer> depths = new HashMap<>();
     for (Holder holder : query.holders()) {
       if (holder.kept().isEmpty()) {
@@ -90,7 +90,7 @@
     return depths;
   }
 
-  private static Holder bestKept(RouteQuery query) {
+  private static Holder deepestStored(RouteQuery query) {
     Holder best = NO_HOLDER;
     for (Holder holder : query.holders()) {
       if (!holder.kept().isEmpty() && holder.depth() > best.depth()) {
@@ -102,7 +102,7 @@
 
   private static void addRestore(
       RouteQuery query,
-      ServerView server,
+      ServerSnapshot server,
       int cached,
       int evicted,
       Holder stored,
@@ -118,56 +118,57 @@
       return;
     }
     Reuse reuse = new Reuse(stored.depth(), stored.server(), stored.kept(), missing);
-    options.add(CostModel.option(query, server, reuse, evicted));
+    options.add(CostModel.estimate(query, server, reuse, evicted));
   }
 
   /**
-   * Returns the first {@link #HASHED} servers by rendezvous hash of the prompt's first block; later
-   * elements are null if there are fewer servers.
+   * Returns the first {@link #HASHED_CANDIDATES} servers by rendezvous hash of the prompt's first
+   * block; later elements are null if there are fewer servers.
    */
-  private static ServerView[] hashed(RouteQuery query) {
-    long group = Hashes.placement(query.chain().group());
-    ServerView[] hashed = new ServerView[HASHED];
-    long[] weights = new long[HASHED];
-    for (ServerView server : query.servers()) {
-      insert(hashed, weights, server, Hashes.weight(group, server.nameHash()));
+  private static ServerSnapshot[] hashedServers(RouteQuery query) {
+    long group = Hashes.placement(query.chain().groupKey());
+    ServerSnapshot[] hashed = new ServerSnapshot[HASHED_CANDIDATES];
+    long[] weights = new long[HASHED_CANDIDATES];
+    for (ServerSnapshot server : query.servers()) {
+      insertByWeight(hashed, weights, server, Hashes.combine(group, server.nameHash()));
     }
     return hashed;
   }
 
-  private List<ServerView> candidates(
-      RouteQuery query, Map<String, Integer> cachedDepth, ServerView[] hashed) {
-    List<ServerView> servers = query.servers();
-    if (servers.size() <= CONSIDER_ALL) {
+  private List<ServerSnapshot> candidates(
+      RouteQuery query, Map<String, Integer> cachedDepth, ServerSnapshot[] hashed) {
+    List<ServerSnapshot> servers = query.servers();
+    if (servers.size() <= MAX_SERVERS_WITHOUT_SAMPLING) {
       return servers;
     }
-    Map<String, ServerView> chosen = new LinkedHashMap<>();
-    for (ServerView server : servers) {
+    Map<String, ServerSnapshot> chosen = new LinkedHashMap<>();
+    for (ServerSnapshot server : servers) {
       if (cachedDepth.containsKey(server.name())) {
         chosen.put(server.name(), server);
       }
     }
-    for (ServerView server : hashed) {
+    for (ServerSnapshot server : hashed) {
       chosen.put(server.name(), server);
     }
     RandomGenerator generator = random.get();
-    for (int i = 0; i < SAMPLED; i++) {
-      ServerView a = servers.get(generator.nextInt(servers.size()));
-      ServerView b = servers.get(generator.nextInt(servers.size()));
+    for (int i = 0; i < SAMPLED_CANDIDATES; i++) {
+      ServerSnapshot a = servers.get(generator.nextInt(servers.size()));
+      ServerSnapshot b = servers.get(generator.nextInt(servers.size()));
       double queueA = CostModel.queueMs(a, query.nowMs());
-      ServerView better = queueA <= CostModel.queueMs(b, query.nowMs()) ? a : b;
+      ServerSnapshot better = queueA <= CostModel.queueMs(b, query.nowMs()) ? a : b;
       chosen.put(better.name(), better);
     }
     return List.copyOf(chosen.values());
   }
 
   /** Inserts a server into an array ordered by descending weight if it is heavy enough. */
-  private static void insert(ServerView[] best, long[] weights, ServerView server, long weight) {
-    ServerView inserted = server;
+  private static void insertByWeight(
+      ServerSnapshot[] best, long[] weights, ServerSnapshot server, long weight) {
+    ServerSnapshot inserted = server;
     long insertedWeight = weight;
     for (int i = 0; i < best.length; i++) {
       if (best[i] == null || insertedWeight > weights[i]) {
-        ServerView displaced = best[i];
+        ServerSnapshot displaced = best[i];
         long displacedWeight = weights[i];
         best[i] = inserted;
         weights[i] = insertedWeight;
@@ -184,12 +185,13 @@
    * Orders options by cost. Ties are in rendezvous order of the prompt's first block, so that
    * repeated prompts go to the same server.
    */
-  private static void sort(List<RouteOption> options, RouteQuery query) {
-    long group = Hashes.placement(query.chain().group());
+  private static void sortByCost(List<RouteOption> options, RouteQuery query) {
+    long group = Hashes.placement(query.chain().groupKey());
     options.sort(
-        Comparator.comparingDouble((RouteOption option) -> Math.rint(option.cost() / TIE))
+        Comparator.comparingDouble(
+                (RouteOption option) -> Math.rint(option.cost() / COST_RESOLUTION))
             .thenComparing(
-                option -> Hashes.weight(group, Hashes.placement(option.server())),
+                option -> Hashes.combine(group, Hashes.placement(option.server())),
                 Comparator.reverseOrder()));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/LoadReport.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/LoadReport.java
@@ -20,9 +20,9 @@
  *
  * @param queuedTokens prompt tokens that wait for their prefill
  * @param running requests in the engine's batch
- * @param atMs when it was received, in milliseconds of the monotonic clock
+ * @param receivedMs when it was received, in milliseconds of the monotonic clock
  */
-public record LoadReport(long queuedTokens, int running, long atMs) {
+public record LoadReport(long queuedTokens, int running, long receivedMs) {
   /** The report of an engine that has not reported yet; never fresh. */
   public static final LoadReport NONE = new LoadReport(0, 0, Long.MIN_VALUE / 2);
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/RouteDecision.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/RouteDecision.java
@@ -22,12 +22,13 @@
  * The result of a routing decision.
  *
  * @param options options in order of preference; the first is selected
- * @param rejected reasons why other candidates or restores were not considered, one sentence each
+ * @param rejectionReasons reasons why other candidates or restores were not considered, one
+ *     sentence each
  */
-public record RouteDecision(List<RouteOption> options, List<String> rejected) {
+public record RouteDecision(List<RouteOption> options, List<String> rejectionReasons) {
   public RouteDecision {
     options = List.copyOf(options);
-    rejected = List.copyOf(rejected);
+    rejectionReasons = List.copyOf(rejectionReasons);
   }
 
   /** Returns the selected option; empty if no server is usable. */
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/RouteOption.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/RouteOption.java
@@ -24,7 +24,7 @@
  * @param server name of the backend server
  * @param reusedBlocks blocks that the server has cached or gets by the restore
  * @param restoreFrom store VM to restore from; empty for no restore
- * @param kept manifest of the stored blocks to restore; empty for no restore
+ * @param manifest manifest of the stored blocks to restore; empty for no restore
  * @param restoreBlocks blocks of the manifest to restore
  * @param networkMs assumed network time
  * @param queueMs estimated queue wait at the server
@@ -32,9 +32,9 @@
  * @param prefillMs estimated time to compute the prompt tokens that are not reused
  * @param recomputedTokens prompt tokens that are not reused
  * @param linkBytes bytes that the restore moves
- * @param waitersMs delay that the prefill causes to waiting requests
- * @param othersMs delay caused to other requests by the prefill, the eviction and the use of the
- *     link
+ * @param waitingDelayMs delay that the prefill causes to waiting requests
+ * @param othersDelayMs delay caused to other requests by the prefill, the eviction and the use of
+ *     the link
  * @param ttftMs estimated time to first token
  * @param cost weighted sum of time, recomputed tokens and moved bytes; the lowest is selected
  */
@@ -42,7 +42,7 @@
     String server,
     int reusedBlocks,
     String restoreFrom,
-    String kept,
+    String manifest,
     int restoreBlocks,
     double networkMs,
     double queueMs,
@@ -50,20 +50,20 @@
     double prefillMs,
     int recomputedTokens,
     long linkBytes,
-    double waitersMs,
-    double othersMs,
+    double waitingDelayMs,
+    double othersDelayMs,
     double ttftMs,
     double cost) {
 
   /** Returns true if blocks are restored to the server before the request is sent. */
-  public boolean restores() {
+  public boolean needsRestore() {
     return !restoreFrom.isEmpty();
   }
 
   /** Returns a sentence with the option's costs, for the explanation of a request. */
-  public String sentence() {
+  public String describe() {
     String restore =
-        restores()
+        needsRestore()
             ? String.format(
                 Locale.ROOT,
                 ", restore of %d blocks from %s %.1f ms",
@@ -84,6 +84,6 @@
         prefillMs,
         reusedBlocks,
         linkBytes,
-        othersMs);
+        othersDelayMs);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/RouteQuery.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/RouteQuery.java
@@ -25,20 +25,20 @@
  * @param chain block keys of the prompt
  * @param servers candidate servers, including ejected ones
  * @param holders engines and store VMs that are known to hold blocks of the prompt
- * @param weights weights of the cost terms, from the service's settings
+ * @param costWeights weights of the cost terms, from the service's settings
  * @param links current state of the links to the store VMs
- * @param pressure waiting requests per server: each millisecond of a server's work delays that many
- *     requests by a millisecond; 0 if none wait
+ * @param waitingPerServer waiting requests per server: each millisecond of a server's work delays
+ *     that many requests by a millisecond; 0 if none wait
  * @param dataCentre data centre of the gateway
  * @param nowMs current time on the monotonic clock
  */
 public record RouteQuery(
     PrefixChain chain,
-    List<ServerView> servers,
+    List<ServerSnapshot> servers,
     List<Holder> holders,
-    Weights weights,
-    Links links,
-    double pressure,
+    CostWeights costWeights,
+    LinkState links,
+    double waitingPerServer,
     String dataCentre,
     long nowMs) {
 
@@ -49,17 +49,21 @@
    * @param recomputedToken weight of a prompt token that is not reused
    * @param linkMegabyte weight of a megabyte (10^6 bytes) moved over a link
    */
-  public record Weights(double ttftMs, double recomputedToken, double linkMegabyte) {}
+  public record CostWeights(double ttftMs, double recomputedToken, double linkMegabyte) {}
 
   /**
    * The state of the links to the store VMs.
    *
    * @param bytesPerMs observed speed of restores
    * @param budgetBytes bytes that the link budget allows now
-   * @param scarcity used share of the link budget, 0 to 1
+   * @param usedBudgetShare used share of the link budget, 0 to 1
    * @param kvBytesPerToken size of a token's KV cache in bytes
-   * @param fixedMs time of a restore apart from the transfer of its bytes
+   * @param overheadMs time of a restore apart from the transfer of its bytes
    */
-  public record Links(
-      double bytesPerMs, long budgetBytes, double scarcity, int kvBytesPerToken, double fixedMs) {}
+  public record LinkState(
+      double bytesPerMs,
+      long budgetBytes,
+      double usedBudgetShare,
+      int kvBytesPerToken,
+      double overheadMs) {}
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/ServerView.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/ServerSnapshot.java
@@ -28,10 +28,10 @@
  * @param sentSinceReportTokens estimated prompt tokens that this gateway sent since that report
  * @param msPerToken learned time to compute one prompt token, in milliseconds
  * @param nameHash {@link Hashes#placement(String)} of the name, computed once for many decisions
- * @param share capacity share: 1 for a healthy server, less during slow start or after a refusal, 0
- *     if ejected or leaving
+ * @param capacityShare capacity share: 1 for a healthy server, less during slow start or after a
+ *     refusal, 0 if ejected or leaving
  */
-public record ServerView(
+public record ServerSnapshot(
     String name,
     String dataCentre,
     int maxConcurrent,
@@ -41,11 +41,11 @@
     LoadReport report,
     long sentSinceReportTokens,
     double msPerToken,
-    double share,
+    double capacityShare,
     long nameHash) {
 
   /** Creates a snapshot and computes the hash of its name. */
-  public ServerView(
+  public ServerSnapshot(
       String name,
       String dataCentre,
       int maxConcurrent,
@@ -72,6 +72,6 @@
 
   /** Returns true if the server may get new requests. */
   public boolean isUsable() {
-    return share > 0;
+    return capacityShare > 0;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/routing/ServerState.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/routing/ServerState.java
@@ -30,39 +30,39 @@
   /**
    * Duration of the first ejection; each further one without a success between lasts twice as long.
    */
-  private static final long FIRST_EJECTION_MS = 1_000;
+  private static final long INITIAL_EJECTION_MS = 1_000;
 
   private static final long MAX_EJECTION_MS = 30_000;
 
   /** Time after a refusal for which a server counts with a reduced capacity share. */
-  private static final long REFUSED_MS = 300;
+  private static final long REFUSAL_BACKOFF_MS = 300;
 
   /** Capacity share of a server that refused a request a moment ago. */
-  private static final double REFUSED_SHARE = 0.1;
+  private static final double REFUSAL_CAPACITY_SHARE = 0.1;
 
   /** Time for which a server that announced that it is leaving gets no new requests. */
-  private static final long LEAVING_MS = 60_000;
+  private static final long LEAVING_EXCLUSION_MS = 60_000;
 
   /** Duration of the slow start after an ejection. */
-  private static final long WARM_UP_MS = 10_000;
+  private static final long SLOW_START_MS = 10_000;
 
   /** Capacity share at the beginning of a slow start; it grows linearly to 1. */
-  private static final double WARM_UP_SHARE = 0.25;
+  private static final double SLOW_START_INITIAL_SHARE = 0.25;
 
   /** Weight of a sample that is faster than the learned speed. */
-  private static final double FASTER_SMOOTHING = 0.5;
+  private static final double FASTER_SAMPLE_WEIGHT = 0.5;
 
   /** Largest growth of the learned time per token by one slower sample. */
-  private static final double SLOWER_FACTOR = 1.05;
+  private static final double MAX_SLOWDOWN_FACTOR = 1.05;
 
   /** Answers with fewer computed tokens are no sample: network time dominates them. */
-  private static final long MIN_TOKENS_TO_LEARN = 512;
+  private static final long MIN_SAMPLE_TOKENS = 512;
 
   /** Time after which a server that reported another weight version may have changed it. */
   private static final long VERSION_FRESH_MS = 1_000;
 
   /** Assumed time to compute a prompt token before the first sample. */
-  private static final double FIRST_MS_PER_TOKEN = 0.05;
+  private static final double INITIAL_MS_PER_TOKEN = 0.05;
 
   private final NamedBackendServer server;
   private final long nameHash;
@@ -72,12 +72,12 @@
   private long pendingTokens;
   private long sentSinceReportTokens;
   private LoadReport report = LoadReport.NONE;
-  private double msPerToken = FIRST_MS_PER_TOKEN;
+  private double msPerToken = INITIAL_MS_PER_TOKEN;
   private int failures;
   private int ejections;
   private long ejectedUntilMs = Long.MIN_VALUE;
-  private long refusedUntilMs = Long.MIN_VALUE;
-  private long warmUntilMs = Long.MIN_VALUE;
+  private long backoffUntilMs = Long.MIN_VALUE;
+  private long slowStartUntilMs = Long.MIN_VALUE;
 
   public ServerState(NamedBackendServer server) {
     this.server = server;
@@ -103,36 +103,36 @@
   }
 
   /** Records a request sent to the server, with its estimated prompt tokens to compute. */
-  public synchronized void sent(long tokens) {
+  public synchronized void recordSent(long tokens) {
     inFlight++;
     pendingTokens += tokens;
     sentSinceReportTokens += tokens;
   }
 
   /** Records that a request got its first token or ended without one. */
-  public synchronized void prefillEnded(long tokens) {
+  public synchronized void recordPrefillEnd(long tokens) {
     pendingTokens = Math.max(0, pendingTokens - tokens);
   }
 
   /** Records the end of a request, whatever its outcome. */
-  public synchronized void ended() {
+  public synchronized void recordEnd() {
     inFlight--;
   }
 
   /** Records a load report that arrived with an answer. */
-  public synchronized void reported(LoadReport newReport) {
+  public synchronized void recordLoadReport(LoadReport newReport) {
     report = newReport;
     sentSinceReportTokens = 0;
   }
 
   /** Records the weight version that the server reported. */
-  public synchronized void hasWeightVersion(String version, long nowMs) {
+  public synchronized void recordWeightVersion(String version, long nowMs) {
     weightVersion = version;
     weightVersionAtMs = nowMs;
   }
 
   /** Whether a server has a certain weight version, as far as this gateway knows. */
-  public enum HasVersion {
+  public enum VersionMatch {
     /** The server last reported this version. */
     YES,
     /** The server has not reported any version yet. */
@@ -144,14 +144,14 @@
   }
 
   /** Returns whether the server has a weight version at a time. */
-  public synchronized HasVersion hasVersion(String version, long nowMs) {
+  public synchronized VersionMatch matchVersion(String version, long nowMs) {
     if (weightVersion.isEmpty()) {
-      return HasVersion.NEVER_HEARD;
+      return VersionMatch.NEVER_HEARD;
     }
     if (weightVersion.equals(version)) {
-      return HasVersion.YES;
+      return VersionMatch.YES;
     }
-    return nowMs - weightVersionAtMs >= VERSION_FRESH_MS ? HasVersion.STALE : HasVersion.NO;
+    return nowMs - weightVersionAtMs >= VERSION_FRESH_MS ? VersionMatch.STALE : VersionMatch.NO;
   }
 
   /**
@@ -162,15 +162,15 @@
    * @param elapsedMs time from sending the request to its first token
    * @param tokens prompt tokens that the server computed
    */
-  public synchronized void observed(double elapsedMs, long tokens) {
-    if (tokens < MIN_TOKENS_TO_LEARN) {
+  public synchronized void recordPrefillTime(double elapsedMs, long tokens) {
+    if (tokens < MIN_SAMPLE_TOKENS) {
       return;
     }
     double sample = elapsedMs / tokens;
     msPerToken =
         sample < msPerToken
-            ? msPerToken + FASTER_SMOOTHING * (sample - msPerToken)
-            : Math.min(sample, msPerToken * SLOWER_FACTOR);
+            ? msPerToken + FASTER_SAMPLE_WEIGHT * (sample - msPerToken)
+            : Math.min(sample, msPerToken * MAX_SLOWDOWN_FACTOR);
   }
 
   /** Returns the learned time to compute one prompt token, in milliseconds. */
@@ -182,52 +182,52 @@
    * Records a complete answer. Resets the failures; starts a slow start if they had ejected the
    * server.
    */
-  public synchronized void succeeded(long nowMs) {
+  public synchronized void recordSuccess(long nowMs) {
     if (failures >= FAILURES_TO_EJECT) {
-      warmUntilMs = nowMs + WARM_UP_MS;
+      slowStartUntilMs = nowMs + SLOW_START_MS;
     }
     failures = 0;
     ejections = 0;
   }
 
   /** Records that the server announced that it is leaving; it gets no new requests for a while. */
-  public synchronized void leaving(long nowMs) {
-    ejectedUntilMs = Math.max(ejectedUntilMs, nowMs + LEAVING_MS);
+  public synchronized void recordLeaving(long nowMs) {
+    ejectedUntilMs = Math.max(ejectedUntilMs, nowMs + LEAVING_EXCLUSION_MS);
   }
 
   /** Records a refusal of a busy or loading server; others are preferred for a moment. */
-  public synchronized void refused(long nowMs) {
-    refusedUntilMs = nowMs + REFUSED_MS;
+  public synchronized void recordRefusal(long nowMs) {
+    backoffUntilMs = nowMs + REFUSAL_BACKOFF_MS;
   }
 
   /** Records a failure. Consecutive failures eject the server, each ejection lasting longer. */
-  public synchronized void failed(long nowMs) {
+  public synchronized void recordFailure(long nowMs) {
     failures++;
     if (failures >= FAILURES_TO_EJECT) {
-      long durationMs = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS << Math.min(ejections, 10));
+      long durationMs = Math.min(MAX_EJECTION_MS, INITIAL_EJECTION_MS << Math.min(ejections, 10));
       ejections++;
       ejectedUntilMs = nowMs + durationMs;
-      warmUntilMs = nowMs + durationMs + WARM_UP_MS;
+      slowStartUntilMs = nowMs + durationMs + SLOW_START_MS;
     }
   }
 
-  private double share(long nowMs) {
+  private double capacityShare(long nowMs) {
     if (nowMs < ejectedUntilMs) {
       return 0;
     }
-    if (nowMs < refusedUntilMs) {
-      return REFUSED_SHARE;
+    if (nowMs < backoffUntilMs) {
+      return REFUSAL_CAPACITY_SHARE;
     }
-    if (nowMs >= warmUntilMs) {
+    if (nowMs >= slowStartUntilMs) {
       return 1;
     }
-    double progress = 1 - (double) (warmUntilMs - nowMs) / WARM_UP_MS;
-    return WARM_UP_SHARE + (1 - WARM_UP_SHARE) * Math.max(0, progress);
+    double progress = 1 - (double) (slowStartUntilMs - nowMs) / SLOW_START_MS;
+    return SLOW_START_INITIAL_SHARE + (1 - SLOW_START_INITIAL_SHARE) * Math.max(0, progress);
   }
 
   /** Returns an immutable snapshot of the server for a routing decision. */
-  public synchronized ServerView view(long nowMs) {
-    return new ServerView(
+  public synchronized ServerSnapshot snapshot(long nowMs) {
+    return new ServerSnapshot(
         server.name(),
         server.spec().dataCentre(),
         server.spec().maxConcurrent(),
@@ -237,7 +237,7 @@
         report,
         sentSinceReportTokens,
         msPerToken,
-        share(nowMs),
+        capacityShare(nowMs),
         nameHash);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/AdmissionGate.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/AdmissionControl.java
@@ -19,20 +19,20 @@
 import org.jspecify.annotations.Nullable;
 import org.landingtrack.internal.loads.FleetTallies;
 import org.landingtrack.internal.loads.TallyTopic;
-import org.landingtrack.internal.overload.Applicant;
+import org.landingtrack.internal.overload.AdmissionDecision;
+import org.landingtrack.internal.overload.AdmissionRequest;
 import org.landingtrack.internal.overload.FleetAdmission;
-import org.landingtrack.internal.overload.ServiceView;
-import org.landingtrack.internal.overload.Verdict;
+import org.landingtrack.internal.overload.ServiceLoad;
 import org.landingtrack.internal.serving.ServiceInfo.EngineInfo;
 
 /**
  * Connects the requests of this VM to {@link FleetAdmission}: asks it whether to admit them, and
  * gives it the demand and the load that this VM sees. Used on the event loop only.
  */
-final class AdmissionGate implements ServiceView {
+final class AdmissionControl implements ServiceLoad {
   private final ServingState state;
-  private final WaitingRuns waiting;
-  private final boolean isOn;
+  private final RequestQueue waiting;
+  private final boolean isEnabled;
   private final FleetAdmission admission;
 
   /**
@@ -41,32 +41,32 @@
    * @param salt differs from VM to VM and from start to start
    * @param enabled false to admit everything, and to publish nothing about the requests of this VM
    */
-  AdmissionGate(
+  AdmissionControl(
       EventLoop loop,
       ServingState state,
-      WaitingRuns waiting,
+      RequestQueue waiting,
       DecisionLog log,
       long salt,
       boolean enabled) {
     this.state = state;
     this.waiting = waiting;
-    this.isOn = enabled;
-    this.admission = new FleetAdmission(loop, salt, this, log::admission);
+    this.isEnabled = enabled;
+    this.admission = new FleetAdmission(loop, salt, this, log::admissionChanged);
     if (enabled) {
-      FleetTallies tallies = state.tally(TallyTopic.SERVICES, admission::tallies);
-      admission.others(tallies::others);
+      FleetTallies tallies = state.registerTallies(TallyTopic.SERVICES, admission::tallies);
+      admission.peerTallies(tallies::others);
     }
   }
 
   /** Decides whether to admit a new request. Resumed streams are always admitted. */
-  Verdict decide(RequestRun run, Route route, long leftMs) {
+  AdmissionDecision decide(RequestRun run, Route route, long leftMs) {
     CallerRequest request = run.request();
     boolean isResumed = request.resumeAfter() != null;
-    if (!isOn || isResumed) {
-      return Verdict.ADMITTED;
+    if (!isEnabled || isResumed) {
+      return AdmissionDecision.ADMITTED;
     }
     return admission.decide(
-        new Applicant(
+        new AdmissionRequest(
             request.id(),
             run.service(),
             route.name(),
@@ -81,14 +81,14 @@
    * Returns true if admission control is on. Requests that it admitted stay queued, whatever wait
    * this VM expects for them.
    */
-  boolean isOn() {
-    return isOn;
+  boolean isEnabled() {
+    return isEnabled;
   }
 
   /** Records a request that was sent to an engine; engines start requests at once. */
   void sent(RequestRun run) {
-    if (isOn && hasEngines(run.service())) {
-      admission.began(run.service(), run.size());
+    if (isEnabled && hasEngines(run.service())) {
+      admission.recordStart(run.service(), run.size());
     }
   }
 
@@ -96,9 +96,9 @@
    * Records a response. Servers other than engines queue requests, so only responses show how much
    * work they get done.
    */
-  void answered(RequestRun run) {
-    if (isOn && !hasEngines(run.service())) {
-      admission.began(run.service(), run.size());
+  void responded(RequestRun run) {
+    if (isEnabled && !hasEngines(run.service())) {
+      admission.recordStart(run.service(), run.size());
     }
   }
 
@@ -119,33 +119,34 @@
   @Override
   public long targetMs(String service) {
     ServingConfig config = state.config();
-    return config == null ? 0 : config.leastTargetMs(service);
+    return config == null ? 0 : config.minTargetLatencyMs(service);
   }
 
   /** Counts requests queued at servers as the most urgent: they come before all queued here. */
   @Override
-  public long waiting(String service, int rank) {
-    long here = waiting.sizes(run -> !run.isLate() && rank(run) == rank && isOf(run, service));
+  public long queuedSize(String service, int rank) {
+    long here =
+        waiting.totalSize(run -> !run.isLate() && rank(run) == rank && belongsTo(run, service));
     return here + (rank == 0 ? queued(service) : 0);
   }
 
   @Override
-  public long late(String service) {
-    return waiting.sizes(run -> run.isLate() && isOf(run, service));
+  public long lateSize(String service) {
+    return waiting.totalSize(run -> run.isLate() && belongsTo(run, service));
   }
 
   private static int rank(RequestRun run) {
-    return Math.min(Applicant.LAST_RANK, run.rank());
+    return Math.min(AdmissionRequest.LAST_RANK, run.rank());
   }
 
-  private static boolean isOf(RequestRun run, String service) {
+  private static boolean belongsTo(RequestRun run, String service) {
     return run.service().equals(service);
   }
 
   @Override
-  public double takenShare(String service) {
+  public double utilization(String service) {
     ServiceInfo info = info(service);
-    if (info == null || isBlind(service)) {
+    if (info == null || isPeerLoadUnknown(service)) {
       return info == null ? 0 : 1;
     }
     double sum = 0;
@@ -180,21 +181,24 @@
     long running = running(backend);
     long slots = backend.entry().slots();
     boolean isQueued = slots > 0 && running > slots;
-    return isQueued ? RequestRun.PLAIN_SIZE * backend.inFlight() * (running - slots) / running : 0;
+    return isQueued
+        ? RequestRun.PLAIN_REQUEST_SIZE * backend.inFlight() * (running - slots) / running
+        : 0;
   }
 
   private long queued(Backend backend, EngineInfo engine) {
     long held = held(backend);
-    long beyond = held - engine.cacheTokens();
-    return beyond <= 0 ? 0 : backend.heldTokens() * beyond / held;
+    long beyond = held - engine.kvCacheTokens();
+    return beyond <= 0 ? 0 : backend.memoryTokensInUse() * beyond / held;
   }
 
   /**
    * Returns true if the service counts as full because the load of some VMs is unknown: then queued
    * requests here are the only sign of a shortage.
    */
-  private boolean isBlind(String service) {
-    return state.peerLoads().unheardVms() > 0 && waiting.sizes(run -> isOf(run, service)) > 0;
+  private boolean isPeerLoadUnknown(String service) {
+    return state.peerLoads().unreportedVms() > 0
+        && waiting.totalSize(run -> belongsTo(run, service)) > 0;
   }
 
   /**
@@ -202,7 +206,7 @@
    * than that, however much of its capacity is free.
    */
   private double takenShare(Backend backend, ServiceInfo info) {
-    if (state.limits().find(backend.startHash()) != null) {
+    if (state.serverLimits().find(backend.incarnationHash()) != null) {
       return 1;
     }
     int slots = backend.entry().slots();
@@ -210,14 +214,15 @@
     if (info.engine() == null) {
       return slotShare;
     }
-    return Math.max(slotShare, (double) held(backend) / Math.max(1, info.engine().cacheTokens()));
+    return Math.max(slotShare, (double) held(backend) / Math.max(1, info.engine().kvCacheTokens()));
   }
 
   private long held(Backend backend) {
-    return backend.heldTokens() + state.peerLoads().heldTokens(backend.startHash());
+    return backend.memoryTokensInUse()
+        + state.peerLoads().memoryTokensInUse(backend.incarnationHash());
   }
 
   private int running(Backend backend) {
-    return backend.inFlight() + state.peerLoads().running(backend.startHash());
+    return backend.inFlight() + state.peerLoads().running(backend.incarnationHash());
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Homes.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/AllowedRegions.java
@@ -23,40 +23,40 @@
 /**
  * Regions in which requests may run and their cached state may be stored.
  *
- * @param bind false if all regions are allowed
+ * @param isRestricted false if all regions are allowed
  * @param regions the allowed regions, if not all are
  */
-public record Homes(boolean bind, Set<String> regions) {
+public record AllowedRegions(boolean isRestricted, Set<String> regions) {
   /** All regions are allowed. */
-  public static final Homes ANYWHERE = new Homes(false, Set.of());
+  public static final AllowedRegions ALL_REGIONS = new AllowedRegions(false, Set.of());
 
-  public Homes {
+  public AllowedRegions {
     regions = Set.copyOf(regions);
   }
 
   /** Returns the regions that a configuration names; an empty collection means all. */
-  public static Homes of(Collection<String> regions) {
-    return regions.isEmpty() ? ANYWHERE : new Homes(true, Set.copyOf(regions));
+  public static AllowedRegions of(Collection<String> regions) {
+    return regions.isEmpty() ? ALL_REGIONS : new AllowedRegions(true, Set.copyOf(regions));
   }
 
   /** Returns the regions that both allow. */
-  Homes and(Homes other) {
-    if (!bind) {
+  AllowedRegions intersect(AllowedRegions other) {
+    if (!isRestricted) {
       return other;
     }
-    if (!other.bind) {
+    if (!other.isRestricted) {
       return this;
     }
     Set<String> common = new HashSet<>(regions);
     common.retainAll(other.regions);
-    return new Homes(true, common);
+    return new AllowedRegions(true, common);
   }
 
   /**
    * Returns true if a region is allowed. An unknown region (null) is only allowed if all regions
    * are.
    */
-  boolean allow(@Nullable String region) {
-    return !bind || (region != null && regions.contains(region));
+  boolean allows(@Nullable String region) {
+    return !isRestricted || (region != null && regions.contains(region));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Attempt.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Attempt.java
@@ -16,71 +16,71 @@
 package org.landingtrack.internal.serving;
 
 import org.jspecify.annotations.Nullable;
-import org.landingtrack.internal.serving.BackendTransport.AnswerHead;
+import org.landingtrack.internal.serving.AttemptPlanner.AttemptPlan;
 import org.landingtrack.internal.serving.BackendTransport.BackendCall;
 import org.landingtrack.internal.serving.BackendTransport.Exchange;
 import org.landingtrack.internal.serving.BackendTransport.NotRunReason;
+import org.landingtrack.internal.serving.BackendTransport.ResponseHead;
 import org.landingtrack.internal.serving.BackendTransport.StreamEvent;
-import org.landingtrack.internal.serving.SendPlanner.SendPlan;
-import org.landingtrack.internal.serving.ServerChooser.Choice;
+import org.landingtrack.internal.serving.ServerSelector.Selection;
 
 /**
  * One attempt to run a request at one backend server. It keeps the counts of work in flight at the
- * server up to date, and reports the outcome to its {@link Outcome} until it is over or cancelled.
- * Used on the event loop only.
+ * server up to date, and reports the outcome to its {@link OutcomeListener} until it is over or
+ * cancelled. Used on the event loop only.
  */
 final class Attempt implements BackendTransport.Listener {
   private final CallerRequest request;
-  private final SendPlan plan;
+  private final AttemptPlan plan;
   private final PartStores parts;
   private final BackendHealth health;
   private final EventLoop loop;
-  private final Outcome outcome;
+  private final OutcomeListener outcomeListener;
   private final long missingTokens;
   private final long memoryTokens;
   private @Nullable Exchange exchange;
-  private @Nullable AnswerHead head;
-  private EventLoop.@Nullable Timer beginning;
+  private @Nullable ResponseHead head;
+  private EventLoop.@Nullable Timer startTimeout;
   private boolean prefilling = true;
   private long sentAtMs;
   private boolean over;
 
   /** Receives the events of an attempt. */
-  interface Outcome {
+  interface OutcomeListener {
     /** The server did not run the request and never will. The attempt is over. */
     void notRun(Attempt sent, NotRunReason reason, String why);
 
     /** The head of the response holds a notice of the server about its own state. */
-    void noticed(Attempt sent, ServerNotice notice);
+    void noticeReceived(Attempt sent, ServerNotice notice);
 
     /** The head of a streamed response arrived. */
-    void streamStarts(AnswerHead head);
+    void streamStarted(ResponseHead head);
 
     /** An event of a streamed response arrived. */
     void event(StreamEvent event);
 
     /** The response is complete. The attempt is over. */
-    void ended(Attempt sent, AnswerHead head, byte[] body);
+    void completed(Attempt sent, ResponseHead head, byte[] body);
 
     /** The attempt failed, and the server may have run the request or still run it. It is over. */
-    void broken(Attempt sent, String why);
+    void outcomeUnknown(Attempt sent, String why);
 
     /** The server had not started the request in time, so it was cancelled there. It is over. */
     void withdrawn(Attempt sent);
   }
 
-  Attempt(CallerRequest request, SendPlan plan, Serving serving, Outcome listener) {
+  Attempt(CallerRequest request, AttemptPlan plan, Serving serving, OutcomeListener listener) {
     this.loop = serving.loop();
     this.request = request;
     this.plan = plan;
-    this.parts = serving.state().parts();
+    this.parts = serving.state().partStores();
     this.health = serving.health();
-    this.outcome = listener;
+    this.outcomeListener = listener;
     Prompt prompt = request.prompt();
     this.missingTokens =
         prompt == null || plan.cacheTokens() == 0
             ? 0
-            : Math.max(0, prompt.tokens() - plan.keptOrFetchedTokens());
+            : Math.max(0, prompt.tokens() - plan.cachedOrFetchedTokens());
     this.memoryTokens = prompt == null || plan.cacheTokens() == 0 ? 0 : prompt.memoryTokens();
   }
 
@@ -93,10 +93,10 @@
   void start(BackendTransport transport, BackendCall call, long mayBeginMs) {
     sentAtMs = loop.millis();
     plan.backend().sent(missingTokens, memoryTokens);
-    noteSent();
-    health.sent(this, plan.work());
+    recordTiming();
+    health.onSend(this, plan.work());
     if (mayBeginMs < call.leftMs()) {
-      beginning = loop.schedule(mayBeginMs, this::withdrawUnbegun);
+      startTimeout = loop.schedule(mayBeginMs, this::withdrawIfNotStarted);
     }
     exchange = transport.send(call, this);
   }
@@ -105,20 +105,20 @@
    * Records the attempt for the latency estimate of an engine. Plain servers are not timed: how
    * long they take depends on the work of each request.
    */
-  private void noteSent() {
+  private void recordTiming() {
     Prompt prompt = request.prompt();
     if (prompt == null || plan.cacheTokens() == 0) {
       return;
     }
-    Choice choice = plan.choice();
+    Selection choice = plan.choice();
     plan.backend()
         .timing()
-        .sent(
+        .recordSend(
             this,
             choice.expectedMs(),
             (int) missingTokens,
-            choice.expectedMs() - choice.readMs(),
-            choice.alone(),
+            choice.expectedMs() - choice.prefillMs(),
+            choice.serverIdle(),
             loop.millis());
   }
 
@@ -126,10 +126,10 @@
    * Cancels the attempt if the server has not sent the head of its response. Until then, closing
    * the connection takes the request out of the server's queue.
    */
-  private void withdrawUnbegun() {
+  private void withdrawIfNotStarted() {
     if (head == null && !over) {
       cancel();
-      outcome.withdrawn(this);
+      outcomeListener.withdrawn(this);
     }
   }
 
@@ -143,7 +143,7 @@
   }
 
   /** Returns true if the head of the response arrived. */
-  boolean hasBegun() {
+  boolean hasStarted() {
     return head != null;
   }
 
@@ -159,9 +159,9 @@
   }
 
   /** Fails the attempt as if its connection had broken: the server may have run the request. */
-  void breakOff(String why) {
+  void failInDoubt(String why) {
     cancel();
-    outcome.broken(this, why);
+    outcomeListener.outcomeUnknown(this, why);
   }
 
   /**
@@ -171,7 +171,7 @@
     plan.backend().succeeded(loop.millis());
     Prompt prompt = request.prompt();
     if (prompt != null && plan.cacheTokens() > 0) {
-      plan.backend().kept().read(plan.scope(), prompt, plan.cacheTokens());
+      plan.backend().cachedParts().recordPrefill(plan.scope(), prompt, plan.cacheTokens());
     }
   }
 
@@ -188,9 +188,9 @@
     }
     long newest = state.newestWeights(prompt.model()).orElse(0);
     if (plan.weights() < newest) {
-      plan.backend().refusedWeights(prompt.model(), newest);
+      plan.backend().onWeightsRefused(prompt.model(), newest);
     } else {
-      plan.backend().lacksWeights(prompt.model(), loop.millis());
+      plan.backend().forgetLearnedWeights(prompt.model(), loop.millis());
     }
   }
 
@@ -200,11 +200,11 @@
       return false;
     }
     over = true;
-    if (beginning != null) {
-      beginning.cancel();
+    if (startTimeout != null) {
+      startTimeout.cancel();
     }
-    plan.backend().timing().ended(this, loop.millis());
-    health.over(this);
+    plan.backend().timing().recordEnd(this, loop.millis());
+    health.onClosed(this);
     endPrefill();
     plan.backend().finished(memoryTokens);
     return true;
@@ -216,17 +216,17 @@
     }
     prefilling = false;
     plan.backend().prefilled(missingTokens);
-    plan.backend().backlog().over(request);
-    parts.fetched(request);
+    plan.backend().linkBacklog().removeAll(request);
+    parts.endFetches(request);
   }
 
   @Override
   public void notRun(NotRunReason reason, String why) {
     if (reason == NotRunReason.NO_CONNECTION) {
-      health.failed(this);
+      health.onFailure(this);
     }
     if (close()) {
-      outcome.notRun(this, reason, why);
+      outcomeListener.notRun(this, reason, why);
     }
   }
 
@@ -236,25 +236,25 @@
   }
 
   @Override
-  public void noticed(ServerNotice notice) {
+  public void noticeReceived(ServerNotice notice) {
     if (!over) {
-      outcome.noticed(this, notice);
+      outcomeListener.noticeReceived(this, notice);
     }
   }
 
   @Override
-  public void head(AnswerHead received) {
+  public void head(ResponseHead received) {
     if (over) {
       return;
     }
     head = received;
     Prompt prompt = request.prompt();
     if (prompt != null && received.weightVersion().isPresent()) {
-      plan.backend().learnWeights(prompt.model(), received.weightVersion().getAsLong());
+      plan.backend().learnWeightVersion(prompt.model(), received.weightVersion().getAsLong());
     }
     if (received.isStream()) {
       plan.backend().succeeded(loop.millis());
-      outcome.streamStarts(received);
+      outcomeListener.streamStarted(received);
     }
   }
 
@@ -263,28 +263,28 @@
     if (over) {
       return;
     }
-    plan.backend().timing().first(this, loop.millis());
-    health.begun(this);
+    plan.backend().timing().recordFirstEvent(this, loop.millis());
+    health.onFirstEvent(this);
     endPrefill();
-    outcome.event(event);
+    outcomeListener.event(event);
   }
 
   @Override
-  public void ended(byte[] body) {
-    AnswerHead received = head;
+  public void completed(byte[] body) {
+    ResponseHead received = head;
     if (received != null) {
-      health.ended(this, received);
+      health.onAnswer(this, received);
     }
     if (received != null && close()) {
-      outcome.ended(this, received, body);
+      outcomeListener.completed(this, received, body);
     }
   }
 
   @Override
-  public void broken(String why) {
-    health.failed(this);
+  public void outcomeUnknown(String why) {
+    health.onFailure(this);
     if (close()) {
-      outcome.broken(this, why);
+      outcomeListener.outcomeUnknown(this, why);
     }
   }
 }
