--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/SendPlanner.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/AttemptPlanner.java
@@ -25,23 +25,23 @@
 import java.util.function.LongFunction;
 import org.jspecify.annotations.Nullable;
 import org.landingtrack.internal.base.Hashes;
-import org.landingtrack.internal.health.Work;
+import org.landingtrack.internal.health.ExpectedWork;
 import org.landingtrack.internal.serving.BackendTransport.BackendCall;
-import org.landingtrack.internal.serving.DecisionLog.RouteFacts;
-import org.landingtrack.internal.serving.PartSources.Fetch;
-import org.landingtrack.internal.serving.ServerChooser.Choice;
+import org.landingtrack.internal.serving.DecisionLog.RoutingDecision;
+import org.landingtrack.internal.serving.PartFetchPlanner.FetchPlan;
+import org.landingtrack.internal.serving.ServerSelector.Selection;
 
 /**
  * Plans the attempts of one request: the backend server, the weight version that it must have, the
  * scope of its KV cache entries, and the prompt parts to transfer. Runs on the event loop.
  */
-final class SendPlanner {
+final class AttemptPlanner {
   /**
    * Time in milliseconds within which an engine with replaced weights must start a request that was
    * sent at the last allowed moment. Half a second of the overall bound remains after it. Without
    * this limit, requests waited up to 2.3 s in the queues of slow engines.
    */
-  private static final long BEGIN_MS = 700;
+  private static final long START_ALLOWANCE_MS = 700;
 
   private final CallerRequest request;
   private final Route route;
@@ -54,10 +54,11 @@
   private final ColdServers cold;
   private final LimitedServers limited;
   private final BackendHealth health;
-  private final Homes homes;
+  private final AllowedRegions homes;
 
   /** The servers that the last plan skipped, by reason. */
-  private final Map<Bar, List<Backend>> barred = new EnumMap<>(Bar.class);
+  private final Map<IneligibleReason, List<Backend>> skippedServers =
+      new EnumMap<>(IneligibleReason.class);
 
   /**
    * The plan of one attempt.
@@ -71,15 +72,15 @@
    * @param work the work that the request causes at the server
    * @param probe true if the attempt probes an ejected server
    */
-  record SendPlan(
-      Choice choice,
+  record AttemptPlan(
+      Selection choice,
       ServiceInfo info,
       int candidates,
       int priority,
       long weights,
       String scope,
-      @Nullable PartSources sources,
-      Work work,
+      @Nullable PartFetchPlanner sources,
+      ExpectedWork work,
       boolean probe) {
 
     Backend backend() {
@@ -87,17 +88,17 @@
     }
 
     /** Returns the number of prompt tokens that the server probably has cached or fetches. */
-    int keptOrFetchedTokens() {
-      return choice.keptTokens() + choice.fetchedTokens();
+    int cachedOrFetchedTokens() {
+      return choice.cachedTokens() + choice.fetchedTokens();
     }
 
     /** Returns the KV cache capacity of an engine in tokens; 0 if the server is not an engine. */
     int cacheTokens() {
-      return info.engine() == null ? 0 : info.engine().cacheTokens();
+      return info.engine() == null ? 0 : info.engine().kvCacheTokens();
     }
   }
 
-  SendPlanner(
+  AttemptPlanner(
       Serving serving, CallerRequest request, Route route, @Nullable Team team, String service) {
     this.request = request;
     this.route = route;
@@ -110,35 +111,40 @@
     this.cold = serving.cold();
     this.limited = serving.limited();
     this.health = serving.health();
-    this.homes = team == null ? route.homes() : route.homes().and(team.homes());
+    this.homes =
+        team == null
+            ? route.allowedRegions()
+            : route.allowedRegions().intersect(team.allowedRegions());
   }
 
   /** Plans the next attempt; returns null if no server is eligible. */
-  @Nullable SendPlan plan(SendHistory history) {
+  @Nullable AttemptPlan plan(AttemptHistory history) {
     ServingConfig config = state.config();
     ServiceInfo info = config == null ? null : config.service(service);
     if (info == null) {
       return null;
     }
-    barred.clear();
-    Eligibility.Terms terms = new Eligibility.Terms(history.tried(), homes, info);
+    skippedServers.clear();
+    Eligibility.Conditions terms =
+        new Eligibility.Conditions(history.triedServerIds(), homes, info);
     List<Backend> usable =
         state
             .servers()
-            .usable(service, backend -> isEligible(backend, terms), !history.hasFurtherSend(route));
-    List<Backend> recent = recentEnough(usable, oldestWeights());
+            .usable(
+                service, backend -> isEligible(backend, terms), !history.hasFurtherAttempt(route));
+    List<Backend> recent = withRecentWeights(usable, oldestWeights());
     boolean tryNewest = recent.isEmpty() && !usable.isEmpty();
-    Backend probed = probed(history, terms);
-    Map<Long, PartSources> sources = new HashMap<>();
-    Choice choice =
-        ServerChooser.choose(
+    Backend probed = probeTarget(history, terms);
+    Map<Long, PartFetchPlanner> sources = new HashMap<>();
+    Selection choice =
+        ServerSelector.select(
             probed != null ? List.of(probed) : tryNewest ? usable : recent,
             query(info, weights -> sources(sources, weights, info)));
     if (choice == null) {
       return null;
     }
-    long weights = weightsOf(choice.backend(), tryNewest);
-    return new SendPlan(
+    long weights = requiredWeights(choice.backend(), tryNewest);
+    return new AttemptPlan(
         choice,
         info,
         usable.size(),
@@ -151,13 +157,15 @@
   }
 
   /** Returns the ejected server that the request probes, or null if it probes none. */
-  private @Nullable Backend probed(SendHistory history, Eligibility.Terms terms) {
-    if (!health.suits(request, route, service, history)) {
+  private @Nullable Backend probeTarget(AttemptHistory history, Eligibility.Conditions terms) {
+    if (!health.mayCarryProbe(request, route, service, history)) {
       return null;
     }
     List<Backend> ejected =
-        state.servers().ejected(service, backend -> eligibility.bar(backend, terms) == null);
-    for (Backend backend : recentEnough(ejected, oldestWeights())) {
+        state
+            .servers()
+            .ejected(service, backend -> eligibility.ineligibleReason(backend, terms) == null);
+    for (Backend backend : withRecentWeights(ejected, oldestWeights())) {
       if (health.mayProbe(backend)) {
         return backend;
       }
@@ -165,10 +173,10 @@
     return null;
   }
 
-  private boolean isEligible(Backend backend, Eligibility.Terms terms) {
-    Bar bar = eligibility.bar(backend, terms);
+  private boolean isEligible(Backend backend, Eligibility.Conditions terms) {
+    IneligibleReason bar = eligibility.ineligibleReason(backend, terms);
     if (bar != null) {
-      barred.computeIfAbsent(bar, name -> new ArrayList<>()).add(backend);
+      skippedServers.computeIfAbsent(bar, name -> new ArrayList<>()).add(backend);
     }
     return bar == null;
   }
@@ -176,9 +184,9 @@
   /**
    * Returns why the last plan found no server, with the number of skipped servers for each reason.
    */
-  String whyNone() {
+  String unavailableReason() {
     StringBuilder why = new StringBuilder("no usable server of " + service);
-    barred.forEach(
+    skippedServers.forEach(
         (bar, servers) -> why.append(", ").append(servers.size()).append(' ').append(bar.text()));
     return why.toString();
   }
@@ -193,7 +201,7 @@
     ServingConfig config = state.config();
     ServiceInfo info = config == null ? null : config.service(service);
     long waitMs = limitedWaitMs(queuedBefore);
-    List<Backend> skippedCold = barred.get(Bar.COLD);
+    List<Backend> skippedCold = skippedServers.get(IneligibleReason.COLD);
     if (info == null || skippedCold == null) {
       return waitMs;
     }
@@ -205,7 +213,9 @@
    * would become late. Late requests queue behind others, so it might never be served.
    */
   private long limitedWaitMs(int queuedBefore) {
-    long waitMs = limited.waitMs(barred.getOrDefault(Bar.LIMITED, List.of()), queuedBefore);
+    long waitMs =
+        limited.waitMs(
+            skippedServers.getOrDefault(IneligibleReason.LIMITED, List.of()), queuedBefore);
     long ageMs = loop.millis() - request.receivedAtMs();
     return EngineAdmission.isLate(ageMs + waitMs, route.targetLatencyMs())
         ? Long.MAX_VALUE
@@ -213,24 +223,25 @@
   }
 
   /** Returns true if the last plan skipped a server only temporarily. */
-  boolean mayHaveTurn() {
-    return barred.containsKey(Bar.COLD) || barred.containsKey(Bar.LIMITED);
+  boolean canWaitForServer() {
+    return skippedServers.containsKey(IneligibleReason.COLD)
+        || skippedServers.containsKey(IneligibleReason.LIMITED);
   }
 
   /**
    * Returns the shortest remaining backoff, in milliseconds, of the servers that asked for one;
    * {@link Long#MAX_VALUE} if none did.
    */
-  long restLeftMs() {
+  long remainingBackoffMs() {
     long leftMs = Long.MAX_VALUE;
-    for (Backend backend : barred.getOrDefault(Bar.RESTING, List.of())) {
-      leftMs = Math.min(leftMs, backend.rest().leftMs(loop.millis()));
+    for (Backend backend : skippedServers.getOrDefault(IneligibleReason.RESTING, List.of())) {
+      leftMs = Math.min(leftMs, backend.backoff().remainingMs(loop.millis()));
     }
     return leftMs;
   }
 
   /** Records that a planned attempt starts now. */
-  void begins(SendPlan plan) {
+  void recordStart(AttemptPlan plan) {
     cold.sent(plan.backend(), plan.info());
     limited.sent(plan.backend());
     if (plan.probe()) {
@@ -238,31 +249,32 @@
     }
   }
 
-  private PartSources sources(Map<Long, PartSources> known, long weights, ServiceInfo info) {
+  private PartFetchPlanner sources(
+      Map<Long, PartFetchPlanner> known, long weights, ServiceInfo info) {
     return known.computeIfAbsent(
         weights,
         version ->
-            new PartSources(
+            new PartFetchPlanner(
                 scope(version),
                 Objects.requireNonNull(request.prompt()),
                 Objects.requireNonNull(info.engine()),
-                state.parts(),
-                store -> eligibility.isHome(store.info().dataCentre(), homes),
+                state.partStores(),
+                store -> eligibility.isAllowedDataCentre(store.info().dataCentre(), homes),
                 state.peerLoads(),
                 loop.millis()));
   }
 
-  private ServerChooser.Query query(ServiceInfo info, LongFunction<PartSources> sources) {
+  private ServerSelector.Query query(ServiceInfo info, LongFunction<PartFetchPlanner> sources) {
     Prompt prompt = request.prompt();
-    return new ServerChooser.Query(
+    return new ServerSelector.Query(
         options.dataCentre(),
         info.engine(),
         info.engine() == null ? null : prompt,
         sources,
         state.peerLoads(),
         newestWeights(),
-        state::rolloutTurn,
-        Hashes.placement(request.splitKey()),
+        state::rolloutPosition,
+        Hashes.placement(request.trafficSplitKey()),
         Math.max(0, route.targetLatencyMs() - (loop.millis() - request.receivedAtMs())),
         loop.millis());
   }
@@ -287,12 +299,12 @@
    * Returns the weight version that the server must have. If none is known, the newest version is
    * required; the engine refuses the request if it has another one.
    */
-  private long weightsOf(Backend backend, boolean tryNewest) {
+  private long requiredWeights(Backend backend, boolean tryNewest) {
     Prompt prompt = request.prompt();
     if (prompt == null) {
       return 0;
     }
-    long known = backend.weights(prompt.model());
+    long known = backend.weightVersion(prompt.model());
     return tryNewest || known == 0 ? newestWeights().orElse(0) : known;
   }
 
@@ -300,14 +312,14 @@
    * Returns the KV transfers of an attempt that starts now, and records them. Parts are transferred
    * only if a weight version is required and the server was selected with it.
    */
-  PartMoves moves(SendPlan plan) {
-    Choice choice = plan.choice();
-    Fetch fetch = choice.fetch();
-    PartSources sources = plan.sources();
+  PartTransfers startTransfers(AttemptPlan plan) {
+    Selection choice = plan.choice();
+    FetchPlan fetch = choice.fetch();
+    PartFetchPlanner sources = plan.sources();
     if (fetch == null || sources == null || plan.weights() == 0) {
-      return PartMoves.NONE;
+      return PartTransfers.NONE;
     }
-    return sources.moves(request, choice.backend(), fetch, choice.keptTokens());
+    return sources.startTransfers(request, choice.backend(), fetch, choice.cachedTokens());
   }
 
   /**
@@ -316,10 +328,11 @@
    * @param leftMs time in milliseconds that the server has for the request
    * @param resumeAfter id of the last event that the caller received, or null
    */
-  BackendCall call(SendPlan plan, PartMoves moves, long leftMs, @Nullable String resumeAfter) {
+  BackendCall createCall(
+      AttemptPlan plan, PartTransfers moves, long leftMs, @Nullable String resumeAfter) {
     Backend backend = plan.backend();
     ServerEntry entry = backend.entry();
-    int notices = backend.notices();
+    int notices = backend.noticeCount();
     return new BackendCall(
         request,
         entry.id(),
@@ -332,7 +345,7 @@
         moves,
         plan.weights() > 0 ? OptionalLong.of(plan.weights()) : OptionalLong.empty(),
         resumeAfter,
-        () -> backend.notices() == notices);
+        () -> backend.noticeCount() == notices);
   }
 
   /**
@@ -340,39 +353,39 @@
    * because its weights have been replaced or the attempt is a probe; {@link Long#MAX_VALUE} if
    * unlimited.
    */
-  long mayBeginMs(SendPlan plan) {
+  long startTimeoutMs(AttemptPlan plan) {
     Prompt prompt = request.prompt();
-    long mostMs = plan.probe() ? health.probeMs(route) : Long.MAX_VALUE;
+    long mostMs = plan.probe() ? health.probeTimeoutMs(route) : Long.MAX_VALUE;
     if (prompt == null || plan.weights() == 0) {
       return mostMs;
     }
-    long replacedMs = options.oldWeightsMs() + BEGIN_MS;
-    return Math.min(mostMs, state.replacedLeftMs(prompt.model(), plan.weights(), replacedMs));
+    long replacedMs = options.oldWeightsGraceMs() + START_ALLOWANCE_MS;
+    return Math.min(mostMs, state.replacedGraceLeftMs(prompt.model(), plan.weights(), replacedMs));
   }
 
   /** Returns the facts behind a routing decision, for the log. */
-  RouteFacts facts(SendPlan plan, PartMoves moves, int sends) {
+  RoutingDecision facts(AttemptPlan plan, PartTransfers moves, int sends) {
     ServingConfig config = state.config();
     Prompt prompt = request.prompt();
-    Choice choice = plan.choice();
+    Selection choice = plan.choice();
     Backend backend = plan.backend();
-    return new RouteFacts(
+    return new RoutingDecision(
         backend.entry().id(),
         loop.millis() - request.receivedAtMs(),
         sends,
         plan.candidates(),
         choice.costMs(),
         choice.expectedMs(),
-        backend.pendingTokens() + state.peerLoads().pendingTokens(backend.startHash()),
+        backend.pendingTokens() + state.peerLoads().pendingTokens(backend.incarnationHash()),
         backend.timing().lagMs(loop.millis()),
         choice.memoryShare(),
         prompt == null ? 0 : prompt.tokens(),
-        choice.keptTokens(),
+        choice.cachedTokens(),
         choice.fetchedTokens(),
         moves,
         plan.weights(),
         newestWeights().orElse(0),
-        prompt == null ? 0 : state.newestNamedForMs(prompt.model()),
+        prompt == null ? 0 : state.newestWeightsAgeMs(prompt.model()),
         config == null ? 0 : config.version());
   }
 
@@ -385,7 +398,7 @@
     Prompt prompt = request.prompt();
     return prompt == null
         ? OptionalLong.empty()
-        : state.oldestUsableWeights(prompt.model(), options.oldWeightsMs());
+        : state.oldestUsableWeights(prompt.model(), options.oldWeightsGraceMs());
   }
 
   /**
@@ -393,14 +406,14 @@
    * server is left, the request may be sent to any server with the newest version as a requirement;
    * a server with another version refuses it.
    */
-  private List<Backend> recentEnough(List<Backend> usable, OptionalLong oldest) {
+  private List<Backend> withRecentWeights(List<Backend> usable, OptionalLong oldest) {
     Prompt prompt = request.prompt();
     if (prompt == null || oldest.isEmpty()) {
       return usable;
     }
     List<Backend> recent = new ArrayList<>();
     for (Backend backend : usable) {
-      if (backend.weights(prompt.model()) >= oldest.getAsLong()) {
+      if (backend.weightVersion(prompt.model()) >= oldest.getAsLong()) {
         recent.add(backend);
       }
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Backend.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Backend.java
@@ -38,14 +38,14 @@
 
   private ServerEntry entry;
   private final long idHash;
-  private long startHash;
-  private long goneAtMs = Long.MAX_VALUE;
-  private long heardGoneAtMs = Long.MIN_VALUE;
+  private long incarnationHash;
+  private long removedAtMs = Long.MAX_VALUE;
+  private long removalSeenAtMs = Long.MIN_VALUE;
   private long leavingAtMs = Long.MAX_VALUE;
-  private final Map<String, Long> learnedWeights = new HashMap<>();
+  private final Map<String, Long> learnedWeightVersions = new HashMap<>();
   private int inFlight;
   private long pendingTokens;
-  private long heldTokens;
+  private long memoryTokensInUse;
   private int failures;
   private int ejections;
   private long ejectedUntilMs;
@@ -54,15 +54,15 @@
   private long listedRevision;
   private boolean ended;
   private long coldUntilMs = Long.MIN_VALUE;
-  private final DrawnSlots.Used coldSends = new DrawnSlots.Used();
-  private final DrawnSlots.Used limitedSends = new DrawnSlots.Used();
-  private final KeptParts kept = new KeptParts();
+  private final HashedSlots.SlotUsage coldSends = new HashedSlots.SlotUsage();
+  private final HashedSlots.SlotUsage limitedSends = new HashedSlots.SlotUsage();
+  private final PrefixCacheEstimate cachedParts = new PrefixCacheEstimate();
   private final EngineTiming timing;
-  private final LinkBacklog backlog = new LinkBacklog();
-  private final ServerRest rest = new ServerRest();
-  private boolean saidLeaving;
-  private boolean saidUnreadable;
-  private int notices;
+  private final LinkBacklog linkBacklog = new LinkBacklog();
+  private final ServerBackoff backoff = new ServerBackoff();
+  private boolean reportedLeaving;
+  private boolean reportedUnreadable;
+  private int noticeCount;
 
   Backend(ServerEntry entry, long sinceMs) {
     this(entry, sinceMs, new EngineTiming());
@@ -71,7 +71,7 @@
   private Backend(ServerEntry entry, long sinceMs, EngineTiming timing) {
     this.entry = entry;
     this.idHash = Hashes.placement(entry.id());
-    this.startHash = idHash;
+    this.incarnationHash = idHash;
     this.timing = timing;
     update(entry, sinceMs);
   }
@@ -80,16 +80,17 @@
    * Returns the server after a restart. The new incarnation keeps only the learned speed of the
    * machine.
    */
-  Backend startedAgain(ServerEntry next, long sinceMs) {
-    return new Backend(next, sinceMs, timing.ofNextStart());
+  Backend restarted(ServerEntry next, long sinceMs) {
+    return new Backend(next, sinceMs, timing.afterRestart());
   }
 
   /** Applies a changed entry; {@code sinceMs} is the earliest time of the change. */
   void update(ServerEntry changed, long sinceMs) {
     entry = changed;
-    startHash = changed.startedMs() == 0 ? idHash : Hashes.weight(idHash, changed.startedMs());
+    incarnationHash =
+        changed.startedMs() == 0 ? idHash : Hashes.combine(idHash, changed.startedMs());
     ended &= !isRemoved();
-    goneAtMs = Long.MAX_VALUE;
+    removedAtMs = Long.MAX_VALUE;
     if (changed.leaving() && leavingAtMs == Long.MAX_VALUE) {
       leavingAtMs = sinceMs;
     }
@@ -100,7 +101,7 @@
   }
 
   /** Sets the store revision at which this VM last saw the entry. */
-  void listedAt(long revision) {
+  void setListedRevision(long revision) {
     listedRevision = revision;
   }
 
@@ -115,39 +116,39 @@
   }
 
   /** Returns the hash of this incarnation, by which VMs report their load on it to each other. */
-  long startHash() {
-    return startHash;
+  long incarnationHash() {
+    return incarnationHash;
   }
 
   /** Notes the weights version reported in an answer, which may be newer than the entry's. */
-  void learnWeights(String model, long version) {
-    Long before = learnedWeights.put(model, version);
+  void learnWeightVersion(String model, long version) {
+    Long before = learnedWeightVersions.put(model, version);
     if (before == null || before < version) {
-      forgetParts();
+      clearCachedParts();
     }
   }
 
   /** Returns the version of a model's weights that the server has at least; 0 if unknown. */
-  long weights(String model) {
+  long weightVersion(String model) {
     long listed = entry.weightVersions().getOrDefault(model, 0L);
-    return Math.max(listed, learnedWeights.getOrDefault(model, 0L));
+    return Math.max(listed, learnedWeightVersions.getOrDefault(model, 0L));
   }
 
   /**
    * Notes that the server's entry was removed; {@code sinceMs} is the earliest time of the removal.
    */
-  void removed(long sinceMs, long nowMs) {
-    goneAtMs = sinceMs;
-    heardGoneAtMs = nowMs;
+  void markRemoved(long sinceMs, long nowMs) {
+    removedAtMs = sinceMs;
+    removalSeenAtMs = nowMs;
   }
 
   /** Returns when this VM last learned that the entry was removed. */
-  long heardGoneAtMs() {
-    return heardGoneAtMs;
+  long removalSeenAtMs() {
+    return removalSeenAtMs;
   }
 
   boolean isRemoved() {
-    return goneAtMs != Long.MAX_VALUE;
+    return removedAtMs != Long.MAX_VALUE;
   }
 
   /**
@@ -155,7 +156,7 @@
    * earliest; -1 if neither happened.
    */
   long leavingForMs(long nowMs) {
-    long since = Math.min(goneAtMs, leavingAtMs);
+    long since = Math.min(removedAtMs, leavingAtMs);
     return since == Long.MAX_VALUE ? -1 : nowMs - since;
   }
 
@@ -164,28 +165,28 @@
    * During an outage of the platform's store this is the only information about it. The
    * announcement is final, whatever the store says later.
    */
-  boolean saysLeaving(long nowMs) {
-    boolean isNew = !saidLeaving;
-    saidLeaving = true;
+  boolean markLeaving(long nowMs) {
+    boolean isNew = !reportedLeaving;
+    reportedLeaving = true;
     leavingAtMs = Math.min(leavingAtMs, nowMs);
     return isNew;
   }
 
   /** Notes that the server sent an unreadable notice; returns true if it is the first. */
-  boolean saysUnreadable() {
-    boolean isNew = !saidUnreadable;
-    saidUnreadable = true;
+  boolean markUnreadable() {
+    boolean isNew = !reportedUnreadable;
+    reportedUnreadable = true;
     return isNew;
   }
 
   /** Returns true if the server announced in an answer that it leaves. */
-  boolean hasSaidLeaving() {
-    return saidLeaving;
+  boolean hasReportedLeaving() {
+    return reportedLeaving;
   }
 
   /** Returns true if the server announced that it leaves, in its entry or in an answer. */
   boolean isLeaving() {
-    return entry.leaving() || saidLeaving;
+    return entry.leaving() || reportedLeaving;
   }
 
   boolean isEjected(long nowMs) {
@@ -203,16 +204,16 @@
   }
 
   /** Returns this VM's attempts per time slot at the server while it was cold. */
-  DrawnSlots.Used coldSends() {
+  HashedSlots.SlotUsage coldSends() {
     return coldSends;
   }
 
   /** Returns this VM's attempts per time slot at the server while it had a limit. */
-  DrawnSlots.Used limitedSends() {
+  HashedSlots.SlotUsage limitedSends() {
     return limitedSends;
   }
 
-  boolean refusedLately(long nowMs) {
+  boolean isRecentlyRefused(long nowMs) {
     return nowMs < refusedUntilMs;
   }
 
@@ -225,8 +226,8 @@
   }
 
   /** Returns the KV cache tokens that this VM's requests in flight need on the server. */
-  long heldTokens() {
-    return heldTokens;
+  long memoryTokensInUse() {
+    return memoryTokensInUse;
   }
 
   /**
@@ -238,7 +239,7 @@
   void sent(long readTokens, long memoryTokens) {
     inFlight++;
     pendingTokens += readTokens;
-    heldTokens += memoryTokens;
+    memoryTokensInUse += memoryTokens;
   }
 
   void prefilled(long tokens) {
@@ -247,11 +248,11 @@
 
   void finished(long memoryTokens) {
     inFlight--;
-    heldTokens -= memoryTokens;
+    memoryTokensInUse -= memoryTokens;
   }
 
   void succeeded(long nowMs) {
-    rest.proved(nowMs);
+    backoff.recordSuccess(nowMs);
     ended = false;
     failures = 0;
     ejections = 0;
@@ -278,21 +279,21 @@
    * Notes that the server refused because it has newer weights than known; {@code newest} is the
    * newest published version.
    */
-  void refusedWeights(String model, long newest) {
-    if (weights(model) < newest) {
-      learnWeights(model, newest);
+  void onWeightsRefused(String model, long newest) {
+    if (weightVersion(model) < newest) {
+      learnWeightVersion(model, newest);
     }
   }
 
   /** Notes that the server lacks the newest weights: the version in its entry counts again. */
-  void lacksWeights(String model, long nowMs) {
-    learnedWeights.remove(model);
+  void forgetLearnedWeights(String model, long nowMs) {
+    learnedWeightVersions.remove(model);
     refused(nowMs);
   }
 
   /** Returns the prompt parts that the server probably has in its cache. */
-  KeptParts kept() {
-    return kept;
+  PrefixCacheEstimate cachedParts() {
+    return cachedParts;
   }
 
   /** Returns the learned response times of the server, if it is an engine. */
@@ -301,28 +302,28 @@
   }
 
   /** Returns the fetches that this VM ordered over the server's network link. */
-  LinkBacklog backlog() {
-    return backlog;
+  LinkBacklog linkBacklog() {
+    return linkBacklog;
   }
 
   /** Returns the backoff that the server asked this VM for. */
-  ServerRest rest() {
-    return rest;
+  ServerBackoff backoff() {
+    return backoff;
   }
 
   /** Counts a notice of the server that says something new. */
-  void noticed() {
-    notices++;
+  void countNotice() {
+    noticeCount++;
   }
 
   /** Returns the number of notices that said something new. */
-  int notices() {
-    return notices;
+  int noticeCount() {
+    return noticeCount;
   }
 
   /** Returns how long the server's network link is busy with the known fetches of all VMs. */
-  double backlogMs(long nowMs, PeerLoads peerLoads) {
-    return backlog.ms(nowMs) + peerLoads.movingMs(startHash);
+  double linkBacklogMs(long nowMs, PeerLoads peerLoads) {
+    return linkBacklog.busyMs(nowMs) + peerLoads.transferMs(incarnationHash);
   }
 
   double msPerToken() {
@@ -332,7 +333,7 @@
   /**
    * Notes that a later incarnation has the server's address: this one is gone and never returns.
    */
-  void replacedByAnother() {
+  void markReplaced() {
     replaced = true;
   }
 
@@ -344,7 +345,7 @@
    * Notes that this incarnation ended while requests were in flight; a later successful answer
    * clears that.
    */
-  void end() {
+  void markEnded() {
     ended = true;
   }
 
@@ -353,7 +354,7 @@
   }
 
   /** Forgets all cached parts, after the server's weights changed. */
-  void forgetParts() {
-    kept.clear();
+  void clearCachedParts() {
+    cachedParts.clear();
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/BackendHealth.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/BackendHealth.java
@@ -17,11 +17,11 @@
 
 import org.jspecify.annotations.Nullable;
 import org.landingtrack.internal.base.Hashes;
+import org.landingtrack.internal.health.ExpectedWork;
 import org.landingtrack.internal.health.SharedHealth;
-import org.landingtrack.internal.health.Work;
 import org.landingtrack.internal.loads.TallyTopic;
-import org.landingtrack.internal.serving.BackendTransport.AnswerHead;
-import org.landingtrack.internal.serving.ServerChooser.Choice;
+import org.landingtrack.internal.serving.BackendTransport.ResponseHead;
+import org.landingtrack.internal.serving.ServerSelector.Selection;
 
 /**
  * Reports the outcomes of attempts to the shared health data, and determines which backend servers
@@ -33,7 +33,7 @@
    * Part of an engine's response time that is not prefill: the network and the step that produces
    * the first event.
    */
-  private static final double ENGINE_FLOOR_MS = 20;
+  private static final double ENGINE_OVERHEAD_MS = 20;
 
   /** Share of its latency target that a request may wait at an ejected server that it probes. */
   private static final double PROBE_SHARE = 0.5;
@@ -50,7 +50,7 @@
     this.loop = loop;
     this.state = state;
     this.log = log;
-    this.shared = options.uses(Mechanism.SHARED_HEALTH) ? shared() : null;
+    this.shared = options.isEnabled(Mechanism.SHARED_HEALTH) ? shared() : null;
   }
 
   private SharedHealth shared() {
@@ -58,42 +58,42 @@
         new SharedHealth(
             loop,
             state.peerLoads(),
-            own -> state.tally(TallyTopic.SERVERS, own),
-            state.servers()::startsByService,
-            new Changes());
-    state.servers().ejectedByAll(health::isEjected);
+            own -> state.registerTallies(TallyTopic.SERVERS, own),
+            state.servers()::incarnationsByService,
+            new ChangeLogger());
+    state.servers().ejectedByFleet(health::isEjected);
     return health;
   }
 
   /** Logs ejections and their ends. */
-  private final class Changes implements SharedHealth.Listener {
+  private final class ChangeLogger implements SharedHealth.Listener {
     @Override
     public void ejected(long server, String why) {
-      ServerEntry entry = state.servers().entryOfStart(server);
+      ServerEntry entry = state.servers().entryOfIncarnation(server);
       if (entry != null) {
         log.ejected(entry.id(), why);
       }
     }
 
     @Override
-    public void released(long server, String why) {
-      ServerEntry entry = state.servers().entryOfStart(server);
+    public void reinstated(long server, String why) {
+      ServerEntry entry = state.servers().entryOfIncarnation(server);
       if (entry != null) {
-        log.server("no longer ejected: " + why, entry, 0);
+        log.serverChanged("no longer ejected: " + why, entry, 0);
       }
     }
   }
 
   /** Returns the expected work of a request on the chosen server, before it is sent there. */
-  Work work(Choice choice, Route route, boolean isEngine) {
+  ExpectedWork work(Selection choice, Route route, boolean isEngine) {
     Backend backend = choice.backend();
     double units =
         isEngine
-            ? choice.expectedMs() - backend.timing().lagMs(loop.millis()) + ENGINE_FLOOR_MS
+            ? choice.expectedMs() - backend.timing().lagMs(loop.millis()) + ENGINE_OVERHEAD_MS
             : plainUnits(backend);
-    return new Work(
+    return new ExpectedWork(
         Hashes.placement(backend.entry().service()),
-        backend.startHash(),
+        backend.incarnationHash(),
         route.name(),
         Math.max(1, units),
         route.targetLatencyMs());
@@ -104,20 +104,20 @@
    * requests at once as it has slots; those beyond that queue.
    */
   private double plainUnits(Backend backend) {
-    int running = backend.inFlight() + state.peerLoads().running(backend.startHash()) + 1;
+    int running = backend.inFlight() + state.peerLoads().running(backend.incarnationHash()) + 1;
     return (double) running / Math.max(1, backend.entry().slots());
   }
 
-  void sent(Attempt attempt, Work work) {
+  void onSend(Attempt attempt, ExpectedWork work) {
     if (shared != null) {
-      shared.sent(attempt, work);
+      shared.onSend(attempt, work);
     }
   }
 
   /** Notes the first event of a stream. */
-  void begun(Attempt attempt) {
+  void onFirstEvent(Attempt attempt) {
     if (shared != null) {
-      shared.answered(attempt, attempt.backend().startHash());
+      shared.onAnswer(attempt, attempt.backend().incarnationHash());
     }
   }
 
@@ -125,53 +125,54 @@
    * Notes a complete answer. A 503 says that the server could not accept the request, which says
    * nothing about its health.
    */
-  void ended(Attempt attempt, AnswerHead head) {
+  void onAnswer(Attempt attempt, ResponseHead head) {
     if (shared == null || head.status() == UNAVAILABLE) {
       return;
     }
     if (head.isServerError()) {
-      shared.failed(attempt);
+      shared.onFailure(attempt);
     } else {
-      shared.answered(attempt, attempt.backend().startHash());
+      shared.onAnswer(attempt, attempt.backend().incarnationHash());
     }
   }
 
   /** Notes a connection that broke or could not be opened. */
-  void failed(Attempt attempt) {
+  void onFailure(Attempt attempt) {
     if (shared != null) {
-      shared.failed(attempt);
+      shared.onFailure(attempt);
     }
   }
 
   /** Notes that no further outcome of an attempt will arrive. */
-  void over(Attempt attempt) {
+  void onClosed(Attempt attempt) {
     if (shared != null) {
-      shared.over(attempt);
+      shared.onClosed(attempt);
     }
   }
 
   /** Returns true if a server is ejected and it is this VM's turn to probe it. */
   boolean mayProbe(Backend backend) {
-    return shared != null && shared.mayProbe(backend.startHash());
+    return shared != null && shared.mayProbe(backend.incarnationHash());
   }
 
   /**
    * Returns true if a request may be used to probe an ejected server: if the probe fails, it can
    * still be retried in time and loses nothing.
    */
-  boolean suits(CallerRequest request, Route route, String service, SendHistory history) {
+  boolean mayCarryProbe(
+      CallerRequest request, Route route, String service, AttemptHistory history) {
     long ageMs = loop.millis() - request.receivedAtMs();
     return shared != null
         && shared.ejectedCount() > 0
-        && route.repeat() != Route.Repeat.NEVER
-        && history.tried().isEmpty()
-        && history.hasFurtherSend(route)
+        && route.retryMode() != Route.RetryMode.NEVER
+        && history.triedServerIds().isEmpty()
+        && history.hasFurtherAttempt(route)
         && ageMs < (1 - PROBE_SHARE) * route.targetLatencyMs()
         && state.retries(service).hasRetry();
   }
 
   /** Returns how long a request that probes an ejected server may wait for its first event. */
-  long probeMs(Route route) {
+  long probeTimeoutMs(Route route) {
     return (long) (PROBE_SHARE * route.targetLatencyMs());
   }
 
@@ -179,7 +180,7 @@
   void probes(Backend backend) {
     if (shared != null) {
       probes++;
-      shared.probes(backend.startHash());
+      shared.onProbe(backend.incarnationHash());
     }
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/BackendTransport.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/BackendTransport.java
@@ -35,7 +35,7 @@
   void probe(String address, Consumer<Boolean> refused);
 
   /** Drops the connections to a server that is gone. */
-  void forget(String serverId);
+  void dropConnections(String serverId);
 
   /**
    * One attempt to run a request at one backend server.
@@ -49,7 +49,7 @@
    * @param moves the parts of the prompt that the server fetches and saves
    * @param weightVersion the version of the weights that the server must have, or empty
    * @param resumeAfter the id of the last event that the caller already has, or null
-   * @param mayStillGo checked once the connection is open, right before the call is written; the
+   * @param mayStillSend checked once the connection is open, right before the call is written; the
    *     call is withdrawn if it returns false
    */
   record BackendCall(
@@ -61,10 +61,10 @@
       @Nullable String team,
       int priority,
       String cacheScope,
-      PartMoves moves,
+      PartTransfers moves,
       OptionalLong weightVersion,
       @Nullable String resumeAfter,
-      BooleanSupplier mayStillGo) {}
+      BooleanSupplier mayStillSend) {}
 
   /** A handle of a call in flight. */
   @FunctionalInterface
@@ -112,10 +112,10 @@
    * @param isStream true if the body is an event stream
    * @param weightVersion the version of the weights that the server used, or empty
    */
-  record AnswerHead(
+  record ResponseHead(
       int status, List<Header> headers, boolean isStream, OptionalLong weightVersion) {
 
-    private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
+    private static final Set<Integer> NOT_RUN_STATUSES = Set.of(408, 421, 429, 503);
     private static final int FIRST_SERVER_ERROR = 500;
 
     /** Returns true if the status is a server error. */
@@ -124,8 +124,8 @@
     }
 
     /** Returns true if callers take this status to mean "did not run and never will". */
-    boolean promisesNotRun() {
-      return PROMISES.contains(status);
+    boolean impliesNotRun() {
+      return NOT_RUN_STATUSES.contains(status);
     }
   }
 
@@ -135,18 +135,18 @@
     void notRun(NotRunReason reason, String why);
 
     /** The response holds a notice of the server about its own state; its head follows. */
-    void noticed(ServerNotice notice);
+    void noticeReceived(ServerNotice notice);
 
     /** The head of the response arrived. */
-    void head(AnswerHead head);
+    void head(ResponseHead head);
 
     /** A complete event of a stream arrived. */
     void event(StreamEvent event);
 
     /** The response is complete; {@code body} is empty for a stream. The call is over. */
-    void ended(byte[] body);
+    void completed(byte[] body);
 
     /** The connection broke or the response is invalid: the call may have run. It is over. */
-    void broken(String why);
+    void outcomeUnknown(String why);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerAnswer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerResponse.java
@@ -17,7 +17,7 @@
 
 import org.jspecify.annotations.Nullable;
 import org.landingtrack.ErrorKind;
-import org.landingtrack.internal.serving.BackendTransport.AnswerHead;
+import org.landingtrack.internal.serving.BackendTransport.ResponseHead;
 import org.landingtrack.internal.serving.BackendTransport.StreamEvent;
 
 /**
@@ -25,15 +25,15 @@
  * received. A stream may be resumed at another server; its caller gets one head, and each event
  * once. Used on the event loop only.
  */
-final class CallerAnswer {
+final class CallerResponse {
   private final CallerRequest request;
   private final CallerSink sink;
   private final EventLoop loop;
-  private boolean streamBegun;
-  private long firstMs = -1;
+  private boolean streamStarted;
+  private long firstResponseMs = -1;
   private @Nullable String lastEventId;
 
-  CallerAnswer(CallerRequest request, CallerSink sink, EventLoop loop) {
+  CallerResponse(CallerRequest request, CallerSink sink, EventLoop loop) {
     this.request = request;
     this.sink = sink;
     this.loop = loop;
@@ -44,8 +44,8 @@
    * Returns true if the head of a stream was sent to the caller, after which no other status can be
    * sent.
    */
-  boolean hasBegunStream() {
-    return streamBegun;
+  boolean hasStartedStream() {
+    return streamStarted;
   }
 
   /** Returns the id of the last event that was sent to the caller, or null. */
@@ -57,21 +57,21 @@
    * Returns the time from receipt of the request to the first event or the whole body of the
    * response, in milliseconds; -1 if neither has come.
    */
-  long firstMs() {
-    return firstMs;
+  long firstResponseMs() {
+    return firstResponseMs;
   }
 
   /** Sends the head of a stream, unless the caller has one already. */
-  void startStream(AnswerHead head) {
-    if (!streamBegun) {
-      streamBegun = true;
+  void startStream(ResponseHead head) {
+    if (!streamStarted) {
+      streamStarted = true;
       sink.startStream(head.status(), head.headers());
     }
   }
 
   /** Forwards an event, unless the caller has it already. */
   void event(StreamEvent event) {
-    noteFirst();
+    recordFirstResponse();
     if (!event.id().isEmpty()) {
       if (!event.isAfter(lastEventId)) {
         return;
@@ -82,17 +82,17 @@
   }
 
   /** Records the time of the first event or body, if none has come before. */
-  void noteFirst() {
-    if (firstMs < 0) {
-      firstMs = loop.millis() - request.receivedAtMs();
+  void recordFirstResponse() {
+    if (firstResponseMs < 0) {
+      firstResponseMs = loop.millis() - request.receivedAtMs();
     }
   }
 
   /** Completes the response with that of a server. */
-  void end(AnswerHead head, byte[] body) {
+  void end(ResponseHead head, byte[] body) {
     if (head.isStream()) {
       sink.endStream();
-    } else if (head.promisesNotRun()) {
+    } else if (head.impliesNotRun()) {
       // The server ran the request, but callers would take this status to mean that it did not run.
       sink.refuse(ErrorKind.FAILED_IN_RUN, "the server responded with status " + head.status(), 0);
     } else {
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ColdServers.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ColdServers.java
@@ -39,7 +39,7 @@
   private static final double SECOND_MS = 1_000;
 
   /** Factor by which the slots that overlap any given second exceed those that fit into it. */
-  private static final double OVERLAP = 1 + SLOT_MS / SECOND_MS;
+  private static final double SLOT_OVERLAP = 1 + SLOT_MS / SECOND_MS;
 
   /**
    * Number of standard deviations by which the mean number of requests in a second lies below the
@@ -47,13 +47,13 @@
    * Calculated, the bound is exceeded in about four of ten million seconds at 11 requests per
    * second, and four of a million at 2.
    */
-  private static final double DEVIATIONS = 6.3;
+  private static final double MARGIN_DEVIATIONS = 6.3;
 
   private final EventLoop loop;
   private final IntSupplier vms;
   private final double overshoot;
   private final double tolerance;
-  private final DrawnSlots slots;
+  private final HashedSlots slots;
   private long passedOver;
 
   /**
@@ -69,32 +69,33 @@
     this.vms = vms;
     this.overshoot = overshoot;
     this.tolerance = tolerance;
-    this.slots = new DrawnSlots(loop, SLOT_MS, salt);
+    this.slots = new HashedSlots(loop, SLOT_MS, salt);
   }
 
   /** Returns true if a server is not cold, or this VM may send it a request now. */
-  boolean mayTake(Backend backend, ServiceInfo service) {
+  boolean maySend(Backend backend, ServiceInfo service) {
     if (!isCold(backend, service)) {
       return true;
     }
-    boolean isAllowed = slots.isFree(backend.coldSends(), backend.startHash(), slotMean(service));
+    boolean isAllowed =
+        slots.hasCapacity(backend.coldSends(), backend.incarnationHash(), meanPerSlot(service));
     passedOver += isAllowed ? 0 : 1;
     return isAllowed;
   }
 
   private boolean isCold(Backend backend, ServiceInfo service) {
-    return service.coldPerSecond() > 0 && backend.coldForMs(loop.millis()) > 0;
+    return service.coldRequestsPerSecond() > 0 && backend.coldForMs(loop.millis()) > 0;
   }
 
   /** Notes that a request is sent. */
   void sent(Backend backend, ServiceInfo service) {
     if (isCold(backend, service)) {
-      slots.use(backend.coldSends());
+      slots.recordSend(backend.coldSends());
     }
   }
 
   /** Returns the mean number of requests that this VM may send in one slot. */
-  private double slotMean(ServiceInfo service) {
+  private double meanPerSlot(ServiceInfo service) {
     return fleetRate(service) * SLOT_MS / SECOND_MS / Math.max(1, vms.getAsInt());
   }
 
@@ -102,9 +103,10 @@
    * Returns the mean request rate per second that all VMs together send to a cold server at most.
    */
   double fleetRate(ServiceInfo service) {
-    double bound = service.coldPerSecond() * overshoot + tolerance;
-    double root = (Math.sqrt(DEVIATIONS * DEVIATIONS + 4 * bound) - DEVIATIONS) / 2;
-    return Math.min(service.coldPerSecond(), root * root / OVERLAP);
+    double bound = service.coldRequestsPerSecond() * overshoot + tolerance;
+    double root =
+        (Math.sqrt(MARGIN_DEVIATIONS * MARGIN_DEVIATIONS + 4 * bound) - MARGIN_DEVIATIONS) / 2;
+    return Math.min(service.coldRequestsPerSecond(), root * root / SLOT_OVERLAP);
   }
 
   /**
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerEnds.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/CrashDetector.java
@@ -29,102 +29,103 @@
  * connections, that another incarnation answers there, or that its entry disappears. The end of a
  * server that announced to leave is counted against no request. Used on the event loop only.
  */
-final class ServerEnds {
+final class CrashDetector {
   /**
    * How long a broken request waits for proof that its server ended. An entry disappears within
    * four seconds of the end of its server; the remainder covers delays of the store's watch.
    */
-  private static final long PROOF_MS = 10_000;
+  private static final long EVIDENCE_WINDOW_MS = 10_000;
 
   /**
    * Delay before the second connection attempt. A server that ends may accept connections for a
    * moment after it broke off others: with a single attempt, two of about 45 crashes were not
    * counted against their request, in eight runs of a test over sockets.
    */
-  private static final long LOOK_AGAIN_MS = 250;
+  private static final long PROBE_RETRY_MS = 250;
 
   /**
    * Connection attempts to a server after a request broke off there; one more than is usually
    * needed.
    */
-  private static final int LOOKS = 2;
+  private static final int MAX_PROBES = 2;
 
   private final Quarantine quarantine;
   private final EventLoop loop;
   private final BackendTransport transport;
-  private final Map<Backend, Broken> broken = new HashMap<>();
+  private final Map<Backend, BrokenRequests> brokenRequests = new HashMap<>();
 
   /** Requests that broke off at one server, and the number of connection attempts made. */
-  private static final class Broken {
+  private static final class BrokenRequests {
     private final List<RequestDigest> requests = new ArrayList<>();
-    private int looks;
+    private int probes;
   }
 
-  ServerEnds(Quarantine quarantine, EventLoop loop, BackendTransport transport) {
+  CrashDetector(Quarantine quarantine, EventLoop loop, BackendTransport transport) {
     this.quarantine = quarantine;
     this.loop = loop;
     this.transport = transport;
   }
 
   /** Notes that a request broke off at a server, which may have ended under it. */
-  void brokeOff(RequestDigest request, Backend server) {
+  void onRequestBroken(RequestDigest request, Backend server) {
     if (server.leavingForMs(loop.millis()) >= 0) {
       return;
     }
     if (server.hasEnded()) {
-      quarantine.charge(request, server.startHash());
+      quarantine.recordCrash(request, server.incarnationHash());
       return;
     }
-    Broken pending = broken.computeIfAbsent(server, key -> new Broken());
+    BrokenRequests pending = brokenRequests.computeIfAbsent(server, key -> new BrokenRequests());
     pending.requests.add(request);
-    loop.schedule(PROOF_MS, () -> forget(request, server));
-    if (pending.looks == 0) {
-      look(server, pending);
+    loop.schedule(EVIDENCE_WINDOW_MS, () -> forget(request, server));
+    if (pending.probes == 0) {
+      probe(server, pending);
     }
   }
 
-  private void look(Backend server, Broken pending) {
-    pending.looks++;
-    transport.probe(server.entry().address(), refused -> looked(server, refused));
+  private void probe(Backend server, BrokenRequests pending) {
+    pending.probes++;
+    transport.probe(server.entry().address(), refused -> onProbed(server, refused));
   }
 
-  private void looked(Backend server, boolean refused) {
-    Broken pending = broken.get(server);
+  private void onProbed(Backend server, boolean refused) {
+    BrokenRequests pending = brokenRequests.get(server);
     if (pending == null) {
       return;
     }
     if (refused) {
-      ended(server);
-    } else if (pending.looks < LOOKS) {
-      loop.schedule(LOOK_AGAIN_MS, () -> lookAgain(server, pending));
+      onServerEnded(server);
+    } else if (pending.probes < MAX_PROBES) {
+      loop.schedule(PROBE_RETRY_MS, () -> probeAgain(server, pending));
     } else {
-      pending.looks = 0;
+      pending.probes = 0;
     }
   }
 
-  private void lookAgain(Backend server, Broken pending) {
-    if (broken.get(server) == pending) {
-      look(server, pending);
+  private void probeAgain(Backend server, BrokenRequests pending) {
+    if (brokenRequests.get(server) == pending) {
+      probe(server, pending);
     }
   }
 
   /** Notes that a server ended, and counts the crash against all requests that broke off there. */
-  void ended(Backend server) {
-    server.end();
-    Broken pending = broken.remove(server);
+  void onServerEnded(Backend server) {
+    server.markEnded();
+    BrokenRequests pending = brokenRequests.remove(server);
     if (pending != null) {
-      pending.requests.forEach(request -> quarantine.charge(request, server.startHash()));
+      pending.requests.forEach(
+          request -> quarantine.recordCrash(request, server.incarnationHash()));
     }
   }
 
   private void forget(RequestDigest request, Backend server) {
-    Broken pending = broken.get(server);
+    BrokenRequests pending = brokenRequests.get(server);
     if (pending == null) {
       return;
     }
     pending.requests.remove(request);
     if (pending.requests.isEmpty()) {
-      broken.remove(server);
+      brokenRequests.remove(server);
     }
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/DecisionLog.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/DecisionLog.java
@@ -17,7 +17,7 @@
 
 import org.landingtrack.ErrorKind;
 import org.landingtrack.internal.quarantine.Quarantine.Suspicion;
-import org.landingtrack.internal.serving.ServingState.Heard;
+import org.landingtrack.internal.serving.ServingState.UpdateSource;
 
 /**
  * Receives each decision about a request and each change of this VM's view of servers,
@@ -25,7 +25,7 @@
  */
 public interface DecisionLog {
   /** Called when a request is sent to a backend server. */
-  void routed(RequestRun run, RouteFacts facts);
+  void routed(RequestRun run, RoutingDecision facts);
 
   /**
    * A routing decision with the figures that it is based on.
@@ -41,15 +41,15 @@
    * @param lagMs the delay of the server's responses beyond what known work explains
    * @param memoryShare the share of the engine's KV cache that its requests need, this one included
    * @param promptTokens the tokens of the prompt
-   * @param keptTokens the leading tokens that the server probably has in its prefix cache
+   * @param cachedTokens the leading tokens that the server probably has in its prefix cache
    * @param fetchedTokens the tokens after these that the server fetches from elsewhere
-   * @param moves the prompt parts that are fetched and saved
-   * @param weights the weight version that the server must have, or 0 if it does not matter
+   * @param transfers the prompt parts that are fetched and saved
+   * @param requiredWeights the weight version that the server must have, or 0 if it does not matter
    * @param newestWeights the newest known weight version, or 0
-   * @param newestForMs the time since that version was published
+   * @param newestWeightsAgeMs the time since that version was published
    * @param configVersion the version of the configuration that the decision is based on
    */
-  record RouteFacts(
+  record RoutingDecision(
       String server,
       long ageMs,
       int attempt,
@@ -60,23 +60,23 @@
       double lagMs,
       double memoryShare,
       int promptTokens,
-      int keptTokens,
+      int cachedTokens,
       int fetchedTokens,
-      PartMoves moves,
-      long weights,
+      PartTransfers transfers,
+      long requiredWeights,
       long newestWeights,
-      long newestForMs,
+      long newestWeightsAgeMs,
       long configVersion) {}
 
   /** Called when an attempt ends without a response for the caller. */
-  void tryFailed(RequestRun run, String server, String outcome, String why);
+  void attemptFailed(RequestRun run, String server, String outcome, String why);
 
   /**
    * Called when an attempt ends without a response and the server may have run the request, or may
    * have crashed while running it. The log line includes the request's digest, which identifies the
    * request when its caller retries it.
    */
-  void brokeOff(RequestRun run, String server, String outcome, String why);
+  void attemptInDoubt(RequestRun run, String server, String outcome, String why);
 
   /** Called when a backend server has answered a request completely, as one body or a stream. */
   void answered(RequestRun run, String server, int status, long firstMs, long totalMs);
@@ -85,10 +85,10 @@
   void refused(RequestRun run, ErrorKind kind, String why, long retryAfterMs);
 
   /** Called when a request ends otherwise: the caller disconnected, or a stream was aborted. */
-  void cut(RequestRun run, String server, String why);
+  void aborted(RequestRun run, String server, String why);
 
   /** Called when this VM's view of a backend server changes. */
-  void server(String change, ServerEntry entry, long revision);
+  void serverChanged(String change, ServerEntry entry, long revision);
 
   /**
    * Called when a server states in a response that it sets or lifts a rate limit, asks for a
@@ -98,10 +98,10 @@
    * @param limitPerSecond the rate limit that it sets, in requests per second, or 0
    * @param restMs the backoff that it asks for, in milliseconds, or 0
    */
-  void noticed(ServerEntry server, String change, double limitPerSecond, long restMs);
+  void serverStated(ServerEntry server, String change, double limitPerSecond, long restMs);
 
   /** Called when a request is blamed for another server crash, is quarantined, or is cleared. */
-  void suspected(Suspicion suspicion);
+  void suspicionChanged(Suspicion suspicion);
 
   /** Called when a server is ejected and gets no requests for a while. */
   void ejected(String server, String why);
@@ -113,17 +113,17 @@
    * @param minShare the admitted share of the least urgent requests, from 0 to 1
    * @param why the figures that the share is derived from
    */
-  void admission(String service, boolean isLimited, double minShare, String why);
+  void admissionChanged(String service, boolean isLimited, double minShare, String why);
 
   /** Called when a configuration comes into force. */
-  void config(long version, long revision);
+  void configApplied(long version, long revision);
 
   /**
    * Called when the evacuation of a data centre begins or ends.
    *
    * @param durationMs how long this VM knew of the evacuation when it ends; 0 when it begins
    */
-  void evacuation(String dataCentre, boolean begins, long durationMs);
+  void evacuationChanged(String dataCentre, boolean begins, long durationMs);
 
   /**
    * Called when this VM learns of a published weight version of a model.
@@ -131,5 +131,5 @@
    * @param source how this VM learned of it
    * @param agoMs the time since it was published, when this VM learns of it
    */
-  void weights(String model, long version, long revision, Heard source, long agoMs);
+  void weightsPublished(String model, long version, long revision, UpdateSource source, long agoMs);
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Eligibility.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Eligibility.java
@@ -22,8 +22,8 @@
 
 /**
  * Decides whether a server may get a request, by rules that apply regardless of routing cost. The
- * server's own state, such as leaving or ejected, is handled by {@link ServerBook}; the weights
- * that it must have, by {@link SendPlanner}. Used on the event loop only.
+ * server's own state, such as leaving or ejected, is handled by {@link ServerRegistry}; the weights
+ * that it must have, by {@link AttemptPlanner}. Used on the event loop only.
  */
 final class Eligibility {
   private final EventLoop loop;
@@ -37,9 +37,9 @@
    * Conditions that apply to one request.
    *
    * @param tried ids of servers to which the request was already sent
-   * @param homes regions in which the request may run
+   * @param allowedRegions regions in which the request may run
    */
-  record Terms(Set<String> tried, Homes homes, ServiceInfo service) {}
+  record Conditions(Set<String> tried, AllowedRegions allowedRegions, ServiceInfo service) {}
 
   /**
    * Creates the rules.
@@ -63,31 +63,31 @@
   }
 
   /** Returns why a server may not get a request now, or null if it may. */
-  @Nullable Bar bar(Backend backend, Terms terms) {
+  @Nullable IneligibleReason ineligibleReason(Backend backend, Conditions terms) {
     ServerEntry entry = backend.entry();
     if (terms.tried().contains(entry.id())) {
-      return Bar.TRIED;
+      return IneligibleReason.TRIED;
     }
     if (ended.test(backend)) {
-      return Bar.ENDED;
+      return IneligibleReason.ENDED;
     }
-    if (evacuations.holds(entry.dataCentre())) {
-      return Bar.EVACUATED;
+    if (evacuations.checkEvacuated(entry.dataCentre())) {
+      return IneligibleReason.EVACUATED;
     }
-    if (!isHome(entry.dataCentre(), terms.homes())) {
-      return Bar.NOT_HOME;
+    if (!isAllowedDataCentre(entry.dataCentre(), terms.allowedRegions())) {
+      return IneligibleReason.NOT_HOME;
     }
-    if (backend.rest().isOn(loop.millis())) {
-      return Bar.RESTING;
+    if (backend.backoff().isActive(loop.millis())) {
+      return IneligibleReason.RESTING;
     }
-    if (!cold.mayTake(backend, terms.service())) {
-      return Bar.COLD;
+    if (!cold.maySend(backend, terms.service())) {
+      return IneligibleReason.COLD;
     }
-    return limited.mayTake(backend) ? null : Bar.LIMITED;
+    return limited.maySend(backend) ? null : IneligibleReason.LIMITED;
   }
 
   /** Returns true if a request may run, or its cached state may be stored, in a data centre. */
-  boolean isHome(String dataCentre, Homes allowed) {
-    return allowed.allow(regions.get(dataCentre));
+  boolean isAllowedDataCentre(String dataCentre, AllowedRegions allowed) {
+    return allowed.allows(regions.get(dataCentre));
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/EndedStarts.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/EndedIncarnations.java
@@ -30,44 +30,44 @@
  * of the end, and the reports stop after that. Costs nothing while no server ended, and 11 bytes
  * per incarnation in each message otherwise. Used on the event loop only.
  */
-final class EndedStarts {
+final class EndedIncarnations {
   /** How long an ended incarnation is reported, which is longer than its entry remains. */
-  static final long TOLD_MS = 6_000;
+  static final long REPORT_MS = 6_000;
 
   /**
    * Maximum number of remembered incarnations; more are not expected to end at once in any planned
    * deployment.
    */
-  private static final int MAX_KEPT = 1_024;
+  private static final int MAX_INCARNATIONS = 1_024;
 
   private final EventLoop loop;
-  private final Map<Long, Long> seenAtMs = new HashMap<>();
-  private final FleetTallies fleet;
+  private final Map<Long, Long> endedAtMs = new HashMap<>();
+  private final FleetTallies fleetTallies;
 
-  EndedStarts(EventLoop loop, ServingState state) {
+  EndedIncarnations(EventLoop loop, ServingState state) {
     this.loop = loop;
-    this.fleet = state.tally(TallyTopic.ENDED_STARTS, this::seenHere);
+    this.fleetTallies = state.registerTallies(TallyTopic.ENDED_INCARNATIONS, this::localTallies);
   }
 
   /** Notes that another incarnation answered at the address of this one. */
-  void seen(Backend backend) {
-    if (seenAtMs.size() < MAX_KEPT) {
-      seenAtMs.put(backend.startHash(), loop.millis());
+  void markEnded(Backend backend) {
+    if (endedAtMs.size() < MAX_INCARNATIONS) {
+      endedAtMs.put(backend.incarnationHash(), loop.millis());
     }
   }
 
   /** Returns true if another VM reports that an incarnation has ended. */
   boolean isEnded(Backend backend) {
-    return fleet.others(backend.startHash()).count(0) > 0;
+    return fleetTallies.others(backend.incarnationHash()).count(0) > 0;
   }
 
-  private List<Tally> seenHere() {
-    if (seenAtMs.isEmpty()) {
+  private List<Tally> localTallies() {
+    if (endedAtMs.isEmpty()) {
       return List.of();
     }
-    seenAtMs.values().removeIf(atMs -> loop.millis() - atMs > TOLD_MS);
+    endedAtMs.values().removeIf(atMs -> loop.millis() - atMs > REPORT_MS);
     List<Tally> reports = new ArrayList<>();
-    seenAtMs.keySet().forEach(start -> reports.add(new Tally(start, 1)));
+    endedAtMs.keySet().forEach(start -> reports.add(new Tally(start, 1)));
     return reports;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/EngineAdmission.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/EngineAdmission.java
@@ -15,7 +15,7 @@
  */
 package org.landingtrack.internal.serving;
 
-import org.landingtrack.internal.serving.ServerChooser.Choice;
+import org.landingtrack.internal.serving.ServerSelector.Selection;
 
 /**
  * Admission control for engines: decides whether a request is sent to the selected engine, waits in
@@ -26,7 +26,7 @@
 final class EngineAdmission {
   /**
    * Maximum expected wait at the engine, in milliseconds. Fetches must end within {@link
-   * PartStore#BELIEF_MS} after the request is sent, and take some hundred milliseconds of that.
+   * PartStore#VALIDITY_MS} after the request is sent, and take some hundred milliseconds of that.
    */
   private static final long MAX_ENGINE_WAIT_MS = 250;
 
@@ -40,7 +40,7 @@
   private static final double MAX_MEMORY_SHARE = 1.1;
 
   /** Minimum time of an engine's answer, approximately. */
-  private static final long LEAST_ANSWER_MS = 100;
+  private static final long MIN_ANSWER_MS = 100;
 
   /** Time over which the retries of callers that are refused together are spread. */
   private static final long RETRY_SPREAD_MS = 300;
@@ -49,7 +49,7 @@
    * Divisor of the caller's remaining time: a retry after more than this fraction of it would leave
    * too little time.
    */
-  private static final int RETRY_LEFT_PARTS = 4;
+  private static final int RETRY_TIME_DIVISOR = 4;
 
   private EngineAdmission() {}
 
@@ -70,7 +70,7 @@
    * @param expectedWaitMs expected time until an engine would start it, given this VM's queue
    */
   static Verdict decide(
-      Choice choice, long ageMs, long targetMs, long leftMs, long expectedWaitMs) {
+      Selection choice, long ageMs, long targetMs, long leftMs, long expectedWaitMs) {
     double waited = Math.min(1, (double) ageMs / Math.max(1, targetMs));
     double share = MEMORY_SHARE + (MAX_MEMORY_SHARE - MEMORY_SHARE) * waited;
     if (choice.waitMs() <= MAX_ENGINE_WAIT_MS && choice.memoryShare() <= share) {
@@ -87,16 +87,16 @@
    */
   static long retryAfterMs(long expectedWaitMs, long leftMs, long callerHash) {
     long spreadMs = Math.floorMod(callerHash, RETRY_SPREAD_MS);
-    return Math.min(expectedWaitMs, leftMs / RETRY_LEFT_PARTS) + spreadMs;
+    return Math.min(expectedWaitMs, leftMs / RETRY_TIME_DIVISOR) + spreadMs;
   }
 
   /** Returns true if an answer can come within the remaining time after a wait. */
   static boolean isInTime(long waitMs, long leftMs) {
-    return waitMs < leftMs - LEAST_ANSWER_MS;
+    return waitMs < leftMs - MIN_ANSWER_MS;
   }
 
   /** Returns true if an answer can no longer come within the target latency of a route. */
   static boolean isLate(long ageMs, long targetMs) {
-    return ageMs + LEAST_ANSWER_MS > targetMs;
+    return ageMs + MIN_ANSWER_MS > targetMs;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/EngineTiming.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/EngineTiming.java
@@ -44,9 +44,9 @@
   private static final double LAG_WEIGHT = 0.5;
 
   /** Half-life of the lag in milliseconds. */
-  private static final double LAG_HALF_MS = 1_000;
+  private static final double LAG_HALF_LIFE_MS = 1_000;
 
-  private final IdentityHashMap<Object, Sent> waiting = new IdentityHashMap<>();
+  private final IdentityHashMap<Object, SentRequest> awaitingFirstEvent = new IdentityHashMap<>();
   private double msPerToken = PRIOR_MS_PER_TOKEN;
   private double lagMs;
   private long lagAtMs;
@@ -56,18 +56,19 @@
    *
    * @param atMs when it was sent
    * @param expectedMs expected time to the first event
-   * @param readTokens tokens that the engine has to prefill
+   * @param prefillTokens tokens that the engine has to prefill
    * @param fixedMs the part of the expected time that is not prefill
-   * @param alone true if the engine had no other work that this VM knew of
+   * @param engineIdle true if the engine had no other work that this VM knew of
    */
-  private record Sent(long atMs, double expectedMs, int readTokens, double fixedMs, boolean alone) {
-    double lateMs(long nowMs) {
+  private record SentRequest(
+      long atMs, double expectedMs, int prefillTokens, double fixedMs, boolean engineIdle) {
+    double overdueMs(long nowMs) {
       return nowMs - atMs - expectedMs;
     }
   }
 
   /** Returns the timing for the engine after a restart: only the speed of its machine remains. */
-  EngineTiming ofNextStart() {
+  EngineTiming afterRestart() {
     EngineTiming next = new EngineTiming();
     next.msPerToken = msPerToken;
     return next;
@@ -82,31 +83,31 @@
    * @param fixedMs the part of the expected time that is not prefill
    * @param alone true if the engine has no other work that this VM knows of
    */
-  void sent(
+  void recordSend(
       Object request,
       double expectedMs,
       int readTokens,
       double fixedMs,
       boolean alone,
       long nowMs) {
-    waiting.put(request, new Sent(nowMs, expectedMs, readTokens, fixedMs, alone));
+    awaitingFirstEvent.put(request, new SentRequest(nowMs, expectedMs, readTokens, fixedMs, alone));
   }
 
   /** Records the first event of a request. */
-  void first(Object request, long nowMs) {
-    Sent sent = waiting.remove(request);
+  void recordFirstEvent(Object request, long nowMs) {
+    SentRequest sent = awaitingFirstEvent.remove(request);
     if (sent == null) {
       return;
     }
-    double delayMs = Math.max(0, sent.lateMs(nowMs));
-    lagMs = (1 - LAG_WEIGHT) * decayed(nowMs) + LAG_WEIGHT * delayMs;
+    double delayMs = Math.max(0, sent.overdueMs(nowMs));
+    lagMs = (1 - LAG_WEIGHT) * decayedLagMs(nowMs) + LAG_WEIGHT * delayMs;
     lagAtMs = nowMs;
-    if (sent.alone && sent.readTokens >= MIN_SAMPLE_TOKENS) {
-      learn((nowMs - sent.atMs - sent.fixedMs) / sent.readTokens);
+    if (sent.engineIdle && sent.prefillTokens >= MIN_SAMPLE_TOKENS) {
+      addSample((nowMs - sent.atMs - sent.fixedMs) / sent.prefillTokens);
     }
   }
 
-  private void learn(double sample) {
+  private void addSample(double sample) {
     double weight = sample < msPerToken ? QUICKER_WEIGHT : SLOWER_WEIGHT;
     double next = msPerToken + weight * (sample - msPerToken);
     msPerToken =
@@ -114,10 +115,10 @@
   }
 
   /** Records the end of a request; if it had no first event, its delay counts in full. */
-  void ended(Object request, long nowMs) {
-    @Nullable Sent sent = waiting.remove(request);
+  void recordEnd(Object request, long nowMs) {
+    @Nullable SentRequest sent = awaitingFirstEvent.remove(request);
     if (sent != null) {
-      lagMs = Math.max(decayed(nowMs), sent.lateMs(nowMs));
+      lagMs = Math.max(decayedLagMs(nowMs), sent.overdueMs(nowMs));
       lagAtMs = nowMs;
     }
   }
@@ -129,18 +130,18 @@
 
   /** Returns the expected delay of the next first event beyond the known work, in ms. */
   double lagMs(long nowMs) {
-    double lag = decayed(nowMs);
+    double lag = decayedLagMs(nowMs);
     // Iterating over an empty IdentityHashMap would scan its whole table.
-    if (waiting.isEmpty()) {
+    if (awaitingFirstEvent.isEmpty()) {
       return lag;
     }
-    for (Sent sent : waiting.values()) {
-      lag = Math.max(lag, sent.lateMs(nowMs));
+    for (SentRequest sent : awaitingFirstEvent.values()) {
+      lag = Math.max(lag, sent.overdueMs(nowMs));
     }
     return lag;
   }
 
-  private double decayed(long nowMs) {
-    return lagMs == 0 ? 0 : lagMs * Math.pow(0.5, (nowMs - lagAtMs) / LAG_HALF_MS);
+  private double decayedLagMs(long nowMs) {
+    return lagMs == 0 ? 0 : lagMs * Math.pow(0.5, (nowMs - lagAtMs) / LAG_HALF_LIFE_MS);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Evacuations.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Evacuations.java
@@ -27,18 +27,18 @@
  * loop only.
  *
  * <p>If the store comes back from an older copy that lacks an evacuation, the evacuation stays in
- * force for {@link #RESTORE_MS}, in which operators write it again. Otherwise a VM would send to an
- * evacuated data centre because the store lost the change.
+ * force for {@link #RESTORE_GRACE_MS}, in which operators write it again. Otherwise a VM would send
+ * to an evacuated data centre because the store lost the change.
  */
 public final class Evacuations {
   /** Time within which operators are expected to repeat changes that the store lost. */
-  private static final long RESTORE_MS = 10_000;
+  private static final long RESTORE_GRACE_MS = 10_000;
 
   private final EventLoop loop;
   private final DecisionLog log;
-  private final Map<String, Evacuation> standing = new HashMap<>();
-  private Consumer<String> ended = dataCentre -> {};
-  private boolean known = true;
+  private final Map<String, Evacuation> active = new HashMap<>();
+  private Consumer<String> endListener = dataCentre -> {};
+  private boolean isKnown = true;
   private long passedOver;
 
   /** An evacuation in force; a later one of the same data centre is a different object. */
@@ -58,20 +58,20 @@
 
   /** Sets the listener for data centres whose evacuation ended. */
   void onEnded(Consumer<String> listener) {
-    ended = listener;
+    endListener = listener;
   }
 
   /**
    * Declares that this VM reads the evacuations from the store; they are unknown until the first
    * list is read.
    */
-  public void expectList() {
-    known = false;
+  public void awaitList() {
+    isKnown = false;
   }
 
   /** Returns true unless the evacuations have still to be read. */
-  boolean known() {
-    return known;
+  boolean isKnown() {
+    return isKnown;
   }
 
   /**
@@ -81,25 +81,25 @@
    */
   public void replaceAll(Collection<String> dataCentres, boolean storeIsOlder) {
     dataCentres.forEach(this::begin);
-    known = true;
-    for (Map.Entry<String, Evacuation> entry : Map.copyOf(standing).entrySet()) {
+    isKnown = true;
+    for (Map.Entry<String, Evacuation> entry : Map.copyOf(active).entrySet()) {
       if (dataCentres.contains(entry.getKey())) {
         continue;
       }
       if (storeIsOlder) {
-        holdMissing(entry.getKey(), entry.getValue());
+        keepTemporarily(entry.getKey(), entry.getValue());
       } else if (!entry.getValue().isMissing) {
         end(entry.getKey());
       }
     }
   }
 
-  private void holdMissing(String dataCentre, Evacuation evacuation) {
+  private void keepTemporarily(String dataCentre, Evacuation evacuation) {
     evacuation.isMissing = true;
     loop.schedule(
-        RESTORE_MS,
+        RESTORE_GRACE_MS,
         () -> {
-          if (evacuation.isMissing && standing.get(dataCentre) == evacuation) {
+          if (evacuation.isMissing && active.get(dataCentre) == evacuation) {
             end(dataCentre);
           }
         });
@@ -107,21 +107,21 @@
 
   /** Begins an evacuation, or confirms one that is in force. */
   public void begin(String dataCentre) {
-    Evacuation evacuation = standing.get(dataCentre);
+    Evacuation evacuation = active.get(dataCentre);
     if (evacuation != null) {
       evacuation.isMissing = false;
       return;
     }
-    standing.put(dataCentre, new Evacuation(loop.millis()));
-    log.evacuation(dataCentre, true, 0);
+    active.put(dataCentre, new Evacuation(loop.millis()));
+    log.evacuationChanged(dataCentre, true, 0);
   }
 
   /** Ends an evacuation. */
   public void end(String dataCentre) {
-    Evacuation evacuation = standing.remove(dataCentre);
+    Evacuation evacuation = active.remove(dataCentre);
     if (evacuation != null) {
-      log.evacuation(dataCentre, false, loop.millis() - evacuation.sinceMs);
-      ended.accept(dataCentre);
+      log.evacuationChanged(dataCentre, false, loop.millis() - evacuation.sinceMs);
+      endListener.accept(dataCentre);
     }
   }
 
@@ -129,15 +129,15 @@
    * Returns true if no new requests may be sent to a data centre's servers. Counts the skipped
    * server.
    */
-  boolean holds(String dataCentre) {
-    boolean isEvacuated = standing.containsKey(dataCentre);
+  boolean checkEvacuated(String dataCentre) {
+    boolean isEvacuated = active.containsKey(dataCentre);
     passedOver += isEvacuated ? 1 : 0;
     return isEvacuated;
   }
 
   /** Returns the data centres that are evacuated. */
   public Set<String> dataCentres() {
-    return Set.copyOf(standing.keySet());
+    return Set.copyOf(active.keySet());
   }
 
   /** Returns how often a server was skipped because of an evacuation. */
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/DrawnSlots.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/HashedSlots.java
@@ -23,7 +23,7 @@
  * communication. An unused slot expires: idle VMs cannot save up capacity and use it all at once.
  * Used on the event loop only.
  */
-final class DrawnSlots {
+final class HashedSlots {
   private final EventLoop loop;
   private final long slotMs;
   private final long salt;
@@ -32,16 +32,16 @@
   private static final double LATEST_WEIGHT = 0.1;
 
   /** Lower bound of the average: a VM without requests still counts on one in 32 slots. */
-  private static final double LEAST_DEMAND = 1.0 / 32;
+  private static final double MIN_DEMAND = 1.0 / 32;
 
   /**
    * Usage of one server's slots: the requests sent in the last slot that had any, and the recent
    * demand.
    */
-  static final class Used {
+  static final class SlotUsage {
     private long slot = Long.MIN_VALUE;
     private int sends;
-    private long askedSlot = Long.MIN_VALUE;
+    private long lastDemandSlot = Long.MIN_VALUE;
     private double demand = 1;
   }
 
@@ -51,7 +51,7 @@
    * @param slotMs length of a slot
    * @param salt differs between VMs
    */
-  DrawnSlots(EventLoop loop, long slotMs, long salt) {
+  HashedSlots(EventLoop loop, long slotMs, long salt) {
     this.loop = loop;
     this.slotMs = slotMs;
     this.salt = salt;
@@ -62,34 +62,34 @@
    *
    * @param mean mean capacity of a slot
    */
-  boolean isFree(Used usage, long server, double mean) {
-    noteAsked(usage);
+  boolean hasCapacity(SlotUsage usage, long server, double mean) {
+    recordDemand(usage);
     int sends = usage.slot == slot() ? usage.sends : 0;
-    return sends < drawn(server, mean);
+    return sends < capacity(server, mean);
   }
 
-  private void noteAsked(Used usage) {
-    if (usage.askedSlot != slot()) {
+  private void recordDemand(SlotUsage usage) {
+    if (usage.lastDemandSlot != slot()) {
       usage.demand = demand(usage);
-      usage.askedSlot = slot();
+      usage.lastDemandSlot = slot();
     }
   }
 
   /** Returns the share of recent slots in which a request for the server was waiting. */
-  double demand(Used usage) {
-    if (usage.askedSlot == Long.MIN_VALUE) {
+  double demand(SlotUsage usage) {
+    if (usage.lastDemandSlot == Long.MIN_VALUE) {
       return 1;
     }
-    long slots = slot() - usage.askedSlot;
+    long slots = slot() - usage.lastDemandSlot;
     if (slots == 0) {
       return usage.demand;
     }
     double updated = usage.demand + LATEST_WEIGHT * (1 - usage.demand);
-    return Math.max(LEAST_DEMAND, updated * Math.pow(1 - LATEST_WEIGHT, (double) slots - 1));
+    return Math.max(MIN_DEMAND, updated * Math.pow(1 - LATEST_WEIGHT, (double) slots - 1));
   }
 
   /** Notes a request that is sent in the current slot. */
-  void use(Used usage) {
+  void recordSend(SlotUsage usage) {
     usage.sends = usage.slot == slot() ? usage.sends + 1 : 1;
     usage.slot = slot();
   }
@@ -98,10 +98,10 @@
     return Math.floorDiv(loop.millis(), slotMs);
   }
 
-  private int drawn(long server, double mean) {
+  private int capacity(long server, double mean) {
     int whole = (int) mean;
-    long hash = Hashes.weight(Hashes.weight(salt, slot()), server);
-    double unit = Hashes.unit(hash);
+    long hash = Hashes.combine(Hashes.combine(salt, slot()), server);
+    double unit = Hashes.toUnitInterval(hash);
     return unit < mean - whole ? whole + 1 : whole;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Bar.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/IneligibleReason.java
@@ -18,7 +18,7 @@
 import java.util.Locale;
 
 /** Reason why a server may not get a request, as written in logs and refusals. */
-enum Bar {
+enum IneligibleReason {
   /** The request was already sent to it. */
   TRIED,
   /** Another VM found a later incarnation at its address. */
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/LimitedServers.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/LimitedServers.java
@@ -48,9 +48,9 @@
    * Number of slots that begin until all VMs know of a sent request, including the slot in which it
    * was sent.
    */
-  private static final double MESH_BLIND_SLOTS = 2.75;
+  private static final double MESH_DELAY_SLOTS = 2.75;
 
-  private static final double HUB_BLIND_SLOTS = 1.2;
+  private static final double HUB_DELAY_SLOTS = 1.2;
 
   /**
    * Factor of its limit that a server can take within the window over which sent requests are
@@ -65,17 +65,17 @@
    * Share of the known free capacity that is counted, since requests of other VMs that are not
    * reported yet may use the remainder.
    */
-  private static final double ROOM_SHARE = 0.7;
+  private static final double HEADROOM_SHARE = 0.7;
 
   /**
    * Number of standard deviations by which the mean number of requests lies below what a server can
    * take beyond its limit. The requests that VMs send before they receive each other's reports
    * depend on independently drawn slots, so their number follows a Poisson distribution.
    */
-  private static final double DEVIATIONS = 2.5;
+  private static final double MARGIN_DEVIATIONS = 2.5;
 
   /** Factor of the mean wait that hardly any wait exceeds; slots are drawn, so waits vary. */
-  private static final double SURE_WAITS = 5;
+  private static final double WAIT_BOUND_FACTOR = 5;
 
   /** Longer than any request lasts. */
   private static final long MAX_WAIT_MS = 86_400_000;
@@ -85,8 +85,8 @@
   private final EventLoop loop;
   private final ServerLimits limits;
   private final PeerLoads peers;
-  private final DrawnSlots meshSlots;
-  private final DrawnSlots hubSlots;
+  private final HashedSlots meshSlots;
+  private final HashedSlots hubSlots;
   private long passedOver;
 
   /**
@@ -98,34 +98,38 @@
     this.loop = loop;
     this.limits = limits;
     this.peers = peers;
-    this.meshSlots = new DrawnSlots(loop, MESH_SLOT_MS, salt);
-    this.hubSlots = new DrawnSlots(loop, HUB_SLOT_MS, salt);
+    this.meshSlots = new HashedSlots(loop, MESH_SLOT_MS, salt);
+    this.hubSlots = new HashedSlots(loop, HUB_SLOT_MS, salt);
   }
 
   /** Returns true if a server has no limit, or this VM may send it a request now. */
-  boolean mayTake(Backend backend) {
-    ServerLimit limit = limits.find(backend.startHash());
+  boolean maySend(Backend backend) {
+    ServerLimit limit = limits.find(backend.incarnationHash());
     if (limit == null) {
       return true;
     }
     boolean isAllowed =
-        slots().isFree(backend.limitedSends(), backend.startHash(), slotMean(limit, backend));
+        slots()
+            .hasCapacity(
+                backend.limitedSends(), backend.incarnationHash(), meanPerSlot(limit, backend));
     passedOver += isAllowed ? 0 : 1;
     return isAllowed;
   }
 
   /** Returns the mean number of requests that this VM may send in one slot. */
-  private double slotMean(ServerLimit limit, Backend backend) {
-    double vms = peers.vmsAtMost();
-    double heard = vms - peers.unheardVms();
-    double reachableShare = limit.inWindow() * heard / vms;
+  private double meanPerSlot(ServerLimit limit, Backend backend) {
+    double vms = peers.maxVms();
+    double heard = vms - peers.unreportedVms();
+    double reachableShare = limit.requestsPerWindow() * heard / vms;
     double room =
-        reachableShare - limit.sentLately(loop.millis()) - peers.limitedSends(backend.startHash());
+        reachableShare
+            - limit.recentSends(loop.millis())
+            - peers.limitedSends(backend.incarnationHash());
     double perSlot = room < 1 ? Math.max(0, room) * slotMs() / limit.windowMs() : room;
     // Where few slots have a request, most drawn slots expire unused. More are drawn to make up for
     // that, but never more than the server can take if each of them has a request.
     double demand = slots().demand(backend.limitedSends());
-    return Math.min(perSlot / demand / heard, mostInSlot(limit, room) / vms);
+    return Math.min(perSlot / demand / heard, maxPerSlot(limit, room) / vms);
   }
 
   /**
@@ -133,13 +137,17 @@
    * slot has a request. Requests that are reported too late still fit into what the server can
    * take.
    */
-  private double mostInSlot(ServerLimit limit, double room) {
-    double excess = (OVERSHOOT - 1) * limit.inWindow() + TOLERANCE + ROOM_SHARE * Math.max(0, room);
-    double root = (Math.sqrt(DEVIATIONS * DEVIATIONS + 4 * excess) - DEVIATIONS) / 2;
-    return root * root / (peers.isMesh() ? MESH_BLIND_SLOTS : HUB_BLIND_SLOTS);
+  private double maxPerSlot(ServerLimit limit, double room) {
+    double excess =
+        (OVERSHOOT - 1) * limit.requestsPerWindow()
+            + TOLERANCE
+            + HEADROOM_SHARE * Math.max(0, room);
+    double root =
+        (Math.sqrt(MARGIN_DEVIATIONS * MARGIN_DEVIATIONS + 4 * excess) - MARGIN_DEVIATIONS) / 2;
+    return root * root / (peers.isMesh() ? MESH_DELAY_SLOTS : HUB_DELAY_SLOTS);
   }
 
-  private DrawnSlots slots() {
+  private HashedSlots slots() {
     return peers.isMesh() ? meshSlots : hubSlots;
   }
 
@@ -149,10 +157,10 @@
 
   /** Notes that a request is sent. */
   void sent(Backend backend) {
-    ServerLimit limit = limits.find(backend.startHash());
+    ServerLimit limit = limits.find(backend.incarnationHash());
     if (limit != null) {
       limit.sent(loop.millis());
-      slots().use(backend.limitedSends());
+      slots().recordSend(backend.limitedSends());
     }
   }
 
@@ -164,13 +172,13 @@
   long waitMs(Collection<Backend> servers, int before) {
     double perSecond = 0;
     for (Backend backend : servers) {
-      ServerLimit limit = limits.find(backend.startHash());
+      ServerLimit limit = limits.find(backend.incarnationHash());
       perSecond += limit == null ? 0 : limit.perSecond();
     }
-    double ownRate = perSecond / peers.vmsAtMost();
+    double ownRate = perSecond / peers.maxVms();
     return ownRate == 0
         ? MAX_WAIT_MS
-        : (long) (SURE_WAITS * (before + 1) * MS_PER_SECOND / ownRate);
+        : (long) (WAIT_BOUND_FACTOR * (before + 1) * MS_PER_SECOND / ownRate);
   }
 
   /** Returns how often a server was skipped because of its limit. */
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/LinkBacklog.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/LinkBacklog.java
@@ -24,18 +24,18 @@
  */
 final class LinkBacklog {
   /** Multiple of its expected time after which a transfer counts as ended without a report. */
-  private static final double OVER_FACTOR = 1.3;
+  private static final double EXPIRY_FACTOR = 1.3;
 
-  private final List<Move> moves = new ArrayList<>();
+  private final List<Transfer> transfers = new ArrayList<>();
 
   /**
    * A transfer in flight.
    *
    * @param owner the request that ordered it, compared by identity
    * @param linkMs the time for which it occupies the link
-   * @param overAtMs when it counts as ended
+   * @param expiresAtMs when it counts as ended
    */
-  private record Move(Object owner, double linkMs, double overAtMs) {}
+  private record Transfer(Object owner, double linkMs, double expiresAtMs) {}
 
   /**
    * Adds a transfer.
@@ -45,28 +45,28 @@
    * @param endsInMs expected time in milliseconds until it ends
    */
   void add(Object owner, double linkMs, double endsInMs, long nowMs) {
-    moves.add(new Move(owner, linkMs, nowMs + endsInMs * OVER_FACTOR));
+    transfers.add(new Transfer(owner, linkMs, nowMs + endsInMs * EXPIRY_FACTOR));
   }
 
   /** Removes all transfers of a request, which have ended. */
-  void over(Object owner) {
-    moves.removeIf(transfer -> transfer.owner == owner);
+  void removeAll(Object owner) {
+    transfers.removeIf(transfer -> transfer.owner == owner);
   }
 
   /** Returns the time in milliseconds for which these transfers occupy the link. */
-  double ms(long nowMs) {
-    if (moves.isEmpty()) {
+  double busyMs(long nowMs) {
+    if (transfers.isEmpty()) {
       return 0;
     }
-    moves.removeIf(transfer -> transfer.overAtMs <= nowMs);
+    transfers.removeIf(transfer -> transfer.expiresAtMs <= nowMs);
     double sum = 0;
-    for (Move transfer : moves) {
+    for (Transfer transfer : transfers) {
       sum += transfer.linkMs;
     }
     return sum;
   }
 
   int size() {
-    return moves.size();
+    return transfers.size();
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/MeteredDecisionLog.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/MeteredDecisionLog.java
@@ -20,7 +20,7 @@
 import org.landingtrack.ErrorKind;
 import org.landingtrack.internal.base.Metrics;
 import org.landingtrack.internal.quarantine.Quarantine.Suspicion;
-import org.landingtrack.internal.serving.ServingState.Heard;
+import org.landingtrack.internal.serving.ServingState.UpdateSource;
 
 /**
  * Counts decisions in metrics and forwards them to another log. The number of label values is
@@ -29,19 +29,19 @@
 public final class MeteredDecisionLog implements DecisionLog {
   private static final double MS_PER_SECOND = 1_000;
 
-  private final DecisionLog log;
+  private final DecisionLog delegate;
   private final Counter answered;
   private final Counter refused;
   private final Counter cut;
-  private final Counter failedTries;
+  private final Counter failedAttempts;
   private final Counter serverChanges;
   private final Counter suspicions;
-  private final Histogram first;
-  private final Histogram total;
+  private final Histogram firstEventSeconds;
+  private final Histogram answerSeconds;
 
   /** Creates a log that counts in {@code metrics} and forwards to {@code log}. */
   public MeteredDecisionLog(DecisionLog log, Metrics metrics) {
-    this.log = log;
+    this.delegate = log;
     this.answered =
         metrics.counter(
             "landingtrack_answers_total", "Responses of backend servers.", "service", "status");
@@ -56,7 +56,7 @@
             "landingtrack_cuts_total",
             "Requests without a complete response: caller disconnected or stream aborted.",
             "service");
-    this.failedTries =
+    this.failedAttempts =
         metrics.counter(
             "landingtrack_failed_tries_total",
             "Attempts that ended without a response for the caller.",
@@ -71,93 +71,94 @@
             "landingtrack_suspicions_total",
             "Requests blamed for server crashes, quarantined or cleared.",
             "change");
-    this.first =
+    this.firstEventSeconds =
         metrics.histogram(
             "landingtrack_first_event_seconds", "Time to the first byte of a response.", "service");
-    this.total =
+    this.answerSeconds =
         metrics.histogram(
             "landingtrack_answer_seconds", "Time to the end of a response.", "service");
   }
 
   @Override
-  public void routed(RequestRun run, RouteFacts decision) {
-    log.routed(run, decision);
+  public void routed(RequestRun run, RoutingDecision decision) {
+    delegate.routed(run, decision);
   }
 
   @Override
-  public void tryFailed(RequestRun run, String server, String outcome, String why) {
-    failedTries.labelValues(run.service()).inc();
-    log.tryFailed(run, server, outcome, why);
+  public void attemptFailed(RequestRun run, String server, String outcome, String why) {
+    failedAttempts.labelValues(run.service()).inc();
+    delegate.attemptFailed(run, server, outcome, why);
   }
 
   @Override
-  public void brokeOff(RequestRun run, String server, String outcome, String why) {
-    failedTries.labelValues(run.service()).inc();
-    log.brokeOff(run, server, outcome, why);
+  public void attemptInDoubt(RequestRun run, String server, String outcome, String why) {
+    failedAttempts.labelValues(run.service()).inc();
+    delegate.attemptInDoubt(run, server, outcome, why);
   }
 
   @Override
   public void answered(RequestRun run, String server, int status, long firstMs, long totalMs) {
     answered.labelValues(run.service(), Integer.toString(status)).inc();
-    first.labelValues(run.service()).observe(firstMs / MS_PER_SECOND);
-    total.labelValues(run.service()).observe(totalMs / MS_PER_SECOND);
-    log.answered(run, server, status, firstMs, totalMs);
+    firstEventSeconds.labelValues(run.service()).observe(firstMs / MS_PER_SECOND);
+    answerSeconds.labelValues(run.service()).observe(totalMs / MS_PER_SECOND);
+    delegate.answered(run, server, status, firstMs, totalMs);
   }
 
   @Override
   public void refused(RequestRun run, ErrorKind kind, String why, long retryAfterMs) {
     refused.labelValues(run.service(), kind.name()).inc();
-    log.refused(run, kind, why, retryAfterMs);
+    delegate.refused(run, kind, why, retryAfterMs);
   }
 
   @Override
-  public void cut(RequestRun run, String server, String why) {
+  public void aborted(RequestRun run, String server, String why) {
     cut.labelValues(run.service()).inc();
-    log.cut(run, server, why);
+    delegate.aborted(run, server, why);
   }
 
   @Override
-  public void server(String change, ServerEntry entry, long revision) {
+  public void serverChanged(String change, ServerEntry entry, long revision) {
     serverChanges.labelValues(change).inc();
-    log.server(change, entry, revision);
+    delegate.serverChanged(change, entry, revision);
   }
 
   @Override
-  public void noticed(ServerEntry server, String change, double limitPerSecond, long restMs) {
+  public void serverStated(ServerEntry server, String change, double limitPerSecond, long restMs) {
     serverChanges.labelValues("says " + change).inc();
-    log.noticed(server, change, limitPerSecond, restMs);
+    delegate.serverStated(server, change, limitPerSecond, restMs);
   }
 
   @Override
-  public void suspected(Suspicion suspicion) {
+  public void suspicionChanged(Suspicion suspicion) {
     suspicions.labelValues(suspicion.change().name()).inc();
-    log.suspected(suspicion);
+    delegate.suspicionChanged(suspicion);
   }
 
   @Override
   public void ejected(String server, String why) {
     serverChanges.labelValues("ejected").inc();
-    log.ejected(server, why);
+    delegate.ejected(server, why);
   }
 
   @Override
-  public void config(long version, long revision) {
-    log.config(version, revision);
+  public void configApplied(long version, long revision) {
+    delegate.configApplied(version, revision);
   }
 
   @Override
-  public void admission(String service, boolean isLimited, double minShare, String why) {
-    log.admission(service, isLimited, minShare, why);
+  public void admissionChanged(String service, boolean isLimited, double minShare, String why) {
+    delegate.admissionChanged(service, isLimited, minShare, why);
   }
 
   @Override
-  public void evacuation(String dataCentre, boolean begins, long durationMs) {
+  public void evacuationChanged(String dataCentre, boolean begins, long durationMs) {
     serverChanges.labelValues(begins ? "evacuation begins" : "evacuation ends").inc();
-    log.evacuation(dataCentre, begins, durationMs);
+    delegate.evacuationChanged(dataCentre, begins, durationMs);
   }
 
   @Override
-  public void weights(String model, long version, long revision, Heard source, long agoMs) {
-    log.weights(model, version, revision, source, agoMs);
+  public void weightsPublished(
+      String model, long version, long revision, UpdateSource source, long agoMs) {
+    delegate.weightsPublished(model, version, revision, source, agoMs);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/PartSources.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/PartFetchPlanner.java
@@ -27,17 +27,17 @@
  * time that a fetch takes. Whatever does not depend on the engine is computed once, since a plan is
  * made for each candidate engine. Not thread-safe; used on the event loop.
  */
-final class PartSources {
+final class PartFetchPlanner {
   /**
    * Factor by which a transfer between data centres is slower, per the platform's documentation.
    */
   static final double OTHER_DATA_CENTRE_FACTOR = 2;
 
   /** A fetch may take longer than prefill by this factor, since prefill occupies the engine. */
-  private static final double READ_PATIENCE = 1.5;
+  private static final double MAX_PREFILL_MULTIPLE = 1.5;
 
   /** Share of the remaining validity of a store's state within which a fetch is to end. */
-  private static final double BELIEF_SHARE = 0.7;
+  private static final double MAX_VALIDITY_SHARE = 0.7;
 
   private final String scope;
   private final Prompt prompt;
@@ -47,18 +47,19 @@
   private final PeerLoads peerLoads;
   private final long now;
   private final List<String> keys;
-  private final List<List<Source>> byPart = new ArrayList<>();
+  private final List<List<Source>> sourcesByPart = new ArrayList<>();
 
   /**
    * A store that holds a part. Times are in milliseconds.
    *
    * @param backlogMs time for which its link is busy
-   * @param nearMs link time of the fetch within a data centre
-   * @param farMs link time of the fetch between data centres
+   * @param sameDataCentreMs link time of the fetch within a data centre
+   * @param crossDataCentreMs link time of the fetch between data centres
    */
-  private record Source(PartStore store, double backlogMs, double nearMs, double farMs) {
+  private record Source(
+      PartStore store, double backlogMs, double sameDataCentreMs, double crossDataCentreMs) {
     double linkMs(String dataCentre) {
-      return store.info().dataCentre().equals(dataCentre) ? nearMs : farMs;
+      return store.info().dataCentre().equals(dataCentre) ? sameDataCentreMs : crossDataCentreMs;
     }
   }
 
@@ -71,7 +72,7 @@
    * @param ms expected time until the fetch ends, in milliseconds
    * @param linkMs time for which the fetch occupies the links, in milliseconds
    */
-  record Fetch(List<@Nullable PartStore> sources, int tokens, double ms, double linkMs) {}
+  record FetchPlan(List<@Nullable PartStore> sources, int tokens, double ms, double linkMs) {}
 
   /**
    * Looks up the stores that hold the shared parts of a prompt.
@@ -79,7 +80,7 @@
    * @param allowed accepts the stores in which the prompt's KV cache entries may be stored
    * @param now the time on the event loop's clock, in milliseconds
    */
-  PartSources(
+  PartFetchPlanner(
       String scope,
       Prompt prompt,
       EngineInfo info,
@@ -97,14 +98,14 @@
     this.keys = PartStores.keys(scope, prompt);
     int shared = prompt.parts().size() - 1;
     for (int i = 0; i < shared; i++) {
-      byPart.add(holding(i));
+      sourcesByPart.add(findSources(i));
     }
   }
 
-  private List<Source> holding(int index) {
+  private List<Source> findSources(int index) {
     int tokens = prompt.parts().get(index).tokens();
     List<Source> found = new ArrayList<>();
-    for (PartStore store : stores.holding(keys.get(index), now)) {
+    for (PartStore store : stores.storesWith(keys.get(index), now)) {
       if (allowed.test(store)) {
         found.add(
             new Source(
@@ -129,22 +130,23 @@
    * @param keptTokens leading tokens that the engine has probably cached
    * @param maxFetchMs time in milliseconds that a fetch may take even if prefill is faster
    */
-  Fetch plan(Backend target, int keptTokens, double maxFetchMs) {
+  FetchPlan plan(Backend target, int keptTokens, double maxFetchMs) {
     List<@Nullable PartStore> sources = new ArrayList<>();
     String dataCentre = target.entry().dataCentre();
-    double targetMs = byPart.isEmpty() ? 0 : target.backlogMs(now, peerLoads);
+    double targetMs = sourcesByPart.isEmpty() ? 0 : target.linkBacklogMs(now, peerLoads);
     int tokens = 0;
     double waitMs = 0;
     double linkMs = 0;
     int end = 0;
     boolean isContiguous = true;
-    for (int i = 0; i < byPart.size(); i++) {
+    for (int i = 0; i < sourcesByPart.size(); i++) {
       Prompt.Part part = prompt.parts().get(i);
       end += part.tokens();
-      Source source = best(byPart.get(i), targetMs, dataCentre);
+      Source source = fastestSource(sourcesByPart.get(i), targetMs, dataCentre);
       double partMs = source == null ? 0 : fetchMs(source, targetMs, dataCentre);
       int missingTokens = Math.max(0, Math.min(part.tokens(), end - keptTokens));
-      if (source != null && !isWorth(source.store, target, part.tokens(), partMs, maxFetchMs)) {
+      if (source != null
+          && !isWorthwhile(source.store, target, part.tokens(), partMs, maxFetchMs)) {
         source = null;
       }
       sources.add(source == null ? null : source.store);
@@ -160,10 +162,11 @@
       }
     }
     sources.add(null);
-    return new Fetch(sources, tokens, waitMs + linkMs, linkMs);
+    return new FetchPlan(sources, tokens, waitMs + linkMs, linkMs);
   }
 
-  private static @Nullable Source best(List<Source> found, double targetMs, String dataCentre) {
+  private static @Nullable Source fastestSource(
+      List<Source> found, double targetMs, String dataCentre) {
     Source best = null;
     double bestMs = Double.POSITIVE_INFINITY;
     for (Source source : found) {
@@ -185,38 +188,40 @@
     return source.linkMs(tokens, info, target.entry().dataCentre());
   }
 
-  private boolean isWorth(
+  private boolean isWorthwhile(
       PartStore source, Backend target, int tokens, double ms, double maxFetchMs) {
-    double leftMs = source.fetchUntilMs() - now;
+    double leftMs = source.validUntilMs() - now;
     double readMs = tokens * target.msPerToken();
-    return ms <= Math.max(readMs * READ_PATIENCE, maxFetchMs) && ms <= leftMs * BELIEF_SHARE;
+    return ms <= Math.max(readMs * MAX_PREFILL_MULTIPLE, maxFetchMs)
+        && ms <= leftMs * MAX_VALIDITY_SHARE;
   }
 
   /**
    * Returns the transfers of a planned fetch and of the saves of parts that no store holds, and
    * records them in the link backlogs.
    *
-   * @param request the owner of the fetches, for {@link PartStores#fetched}
+   * @param request the owner of the fetches, for {@link PartStores#endFetches}
    * @param keptTokens leading tokens that the engine has probably cached
    */
-  PartMoves moves(Object request, Backend target, Fetch fetch, int keptTokens) {
-    return new PartMoves(
-        order(request, target, fetch, keptTokens),
-        stores.save(scope, prompt, info, target, allowed),
-        untilMs(fetch));
+  PartTransfers startTransfers(Object request, Backend target, FetchPlan fetch, int keptTokens) {
+    return new PartTransfers(
+        startFetches(request, target, fetch, keptTokens),
+        stores.startSaves(scope, prompt, info, target, allowed),
+        fetchDeadlineMs(fetch));
   }
 
-  private static long untilMs(Fetch fetch) {
+  private static long fetchDeadlineMs(FetchPlan fetch) {
     long until = Long.MAX_VALUE;
     for (PartStore source : fetch.sources()) {
       if (source != null) {
-        until = Math.min(until, source.fetchUntilMs());
+        until = Math.min(until, source.validUntilMs());
       }
     }
     return until;
   }
 
-  private List<String> order(Object request, Backend target, Fetch fetch, int keptTokens) {
+  private List<String> startFetches(
+      Object request, Backend target, FetchPlan fetch, int keptTokens) {
     List<String> addresses = new ArrayList<>();
     int end = 0;
     for (int i = 0; i < fetch.sources().size(); i++) {
@@ -226,8 +231,8 @@
       addresses.add(source == null ? "" : source.info().address());
       if (source != null && end > keptTokens) {
         double linkMs = linkMs(source, target, part.tokens());
-        target.backlog().add(request, linkMs, fetch.ms(), now);
-        source.backlog().add(request, linkMs, fetch.ms(), now);
+        target.linkBacklog().add(request, linkMs, fetch.ms(), now);
+        source.fetchBacklog().add(request, linkMs, fetch.ms(), now);
       }
     }
     return addresses;
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/PartStore.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/PartStore.java
@@ -34,7 +34,7 @@
  */
 public final class PartStore {
   /** Time for which an answer of the store is valid; each fetch ends within it. */
-  static final long BELIEF_MS = 900;
+  static final long VALIDITY_MS = 900;
 
   /** Minimum remaining validity that a fetch needs. */
   static final long MIN_FETCH_MS = 300;
@@ -46,7 +46,7 @@
   private static final long SAVE_MARGIN_MS = 500;
 
   /** Time after which saving a part may be ordered again. */
-  private static final long SAVE_AGAIN_MS = 3_000;
+  private static final long SAVE_RETRY_MS = 3_000;
 
   static final double MEGABIT_BYTES = 125_000;
   static final double MS_PER_SECOND = 1_000;
@@ -55,18 +55,18 @@
    * Share of the capacity that is filled; parts of interrupted saves take space that the store does
    * not report.
    */
-  private static final double FULL_SHARE = 0.97;
+  private static final double MAX_FILL_SHARE = 0.97;
 
   private final StoreInfo info;
   private final long addressHash;
-  private final Map<String, Integer> whole = new HashMap<>();
-  private final Map<String, Long> savingSinceMs = new HashMap<>();
-  private long heldTokens;
-  private final LinkBacklog backlog = new LinkBacklog();
-  private final LinkBacklog saves = new LinkBacklog();
+  private final Map<String, Integer> completeParts = new HashMap<>();
+  private final Map<String, Long> saveOrderedAtMs = new HashMap<>();
+  private long usedTokens;
+  private final LinkBacklog fetchBacklog = new LinkBacklog();
+  private final LinkBacklog saveBacklog = new LinkBacklog();
   private long epoch = -1;
   private long confirmedAtMs = Long.MIN_VALUE / 2;
-  private long savesFromMs = Long.MIN_VALUE / 2;
+  private long savesAllowedFromMs = Long.MIN_VALUE / 2;
 
   /**
    * The configuration of a store.
@@ -103,77 +103,77 @@
    * @param atMs when the store had them
    */
   void replaceAll(long storeEpoch, Map<String, Integer> parts, long atMs, long nowMs) {
-    noteEpoch(storeEpoch, nowMs);
-    whole.clear();
-    whole.putAll(parts);
-    heldTokens = 0;
+    resetIfRestarted(storeEpoch, nowMs);
+    completeParts.clear();
+    completeParts.putAll(parts);
+    usedTokens = 0;
     for (int tokens : parts.values()) {
-      heldTokens += tokens;
+      usedTokens += tokens;
     }
     confirmedAtMs = Math.max(confirmedAtMs, atMs);
   }
 
   /**
-   * Records an answer of the store; the changes in it follow by {@link #added} and {@link
-   * #removed}.
+   * Records an answer of the store; the changes in it follow by {@link #addPart} and {@link
+   * #removePart}.
    *
    * @param storeEpoch the incarnation of the store that answered
    * @param atMs when it answered
    */
-  void confirmed(long storeEpoch, long atMs, long nowMs) {
-    noteEpoch(storeEpoch, nowMs);
+  void recordAnswer(long storeEpoch, long atMs, long nowMs) {
+    resetIfRestarted(storeEpoch, nowMs);
     confirmedAtMs = Math.max(confirmedAtMs, atMs);
   }
 
   /** Corrects the time of the last answer: it was earlier than assumed by {@code ms}. */
-  void confirmedEarlier(long ms) {
+  void backdateAnswer(long ms) {
     confirmedAtMs -= ms;
   }
 
-  void added(String key, int tokens) {
-    Integer previous = whole.put(key, tokens);
-    heldTokens += tokens - (previous == null ? 0 : previous);
-    savingSinceMs.remove(key);
+  void addPart(String key, int tokens) {
+    Integer previous = completeParts.put(key, tokens);
+    usedTokens += tokens - (previous == null ? 0 : previous);
+    saveOrderedAtMs.remove(key);
   }
 
-  void removed(String key) {
-    Integer previous = whole.remove(key);
-    heldTokens -= previous == null ? 0 : previous;
+  void removePart(String key) {
+    Integer previous = completeParts.remove(key);
+    usedTokens -= previous == null ? 0 : previous;
   }
 
   /**
    * Discards the view if the incarnation changed. The first answer may come from a restarted store
    * as well, so saves are delayed then, too.
    */
-  private void noteEpoch(long storeEpoch, long nowMs) {
+  private void resetIfRestarted(long storeEpoch, long nowMs) {
     if (epoch == storeEpoch) {
       return;
     }
-    whole.clear();
-    savingSinceMs.clear();
-    heldTokens = 0;
+    completeParts.clear();
+    saveOrderedAtMs.clear();
+    usedTokens = 0;
     epoch = storeEpoch;
     confirmedAtMs = Long.MIN_VALUE / 2;
-    savesFromMs = nowMs + BELIEF_MS + SAVE_MARGIN_MS;
+    savesAllowedFromMs = nowMs + VALIDITY_MS + SAVE_MARGIN_MS;
   }
 
   /** Returns the time until which the view is valid; in the past if it has expired. */
-  long fetchUntilMs() {
-    return confirmedAtMs + BELIEF_MS;
+  long validUntilMs() {
+    return confirmedAtMs + VALIDITY_MS;
   }
 
   boolean canFetch(String key, long nowMs) {
-    return whole.containsKey(key) && fetchUntilMs() - nowMs >= MIN_FETCH_MS;
+    return completeParts.containsKey(key) && validUntilMs() - nowMs >= MIN_FETCH_MS;
   }
 
   /** Returns the backlog of the saves that this VM ordered over the store's link. */
-  LinkBacklog saves() {
-    return saves;
+  LinkBacklog saveBacklog() {
+    return saveBacklog;
   }
 
   /** Returns the backlog of the fetches that this VM ordered over the store's link. */
-  LinkBacklog backlog() {
-    return backlog;
+  LinkBacklog fetchBacklog() {
+    return fetchBacklog;
   }
 
   /** Returns the time for which a transfer between an engine and this store occupies both links. */
@@ -189,30 +189,30 @@
   double linkMs(int tokens, EngineInfo engine, boolean near) {
     double mbps = Math.min(engine.linkMbps(), info.linkMbps());
     double bytesPerMs = mbps * MEGABIT_BYTES / MS_PER_SECOND;
-    double factor = near ? 1 : PartSources.OTHER_DATA_CENTRE_FACTOR;
-    return tokens * factor * engine.tokenBytes() / bytesPerMs;
+    double factor = near ? 1 : PartFetchPlanner.OTHER_DATA_CENTRE_FACTOR;
+    return tokens * factor * engine.kvBytesPerToken() / bytesPerMs;
   }
 
-  boolean holds(String key) {
-    return whole.containsKey(key);
+  boolean hasPart(String key) {
+    return completeParts.containsKey(key);
   }
 
   /** Returns true if a part may be saved here now. */
   boolean canSave(String key, int tokens, long nowMs) {
-    return nowMs >= savesFromMs
-        && fetchUntilMs() - nowMs >= MIN_FETCH_MS
-        && !whole.containsKey(key)
+    return nowMs >= savesAllowedFromMs
+        && validUntilMs() - nowMs >= MIN_FETCH_MS
+        && !completeParts.containsKey(key)
         && !isSaving(key, nowMs)
-        && heldTokens + tokens <= info.capacityTokens() * FULL_SHARE;
+        && usedTokens + tokens <= info.capacityTokens() * MAX_FILL_SHARE;
   }
 
   /** Returns true if this VM ordered to save a part here recently. */
   boolean isSaving(String key, long nowMs) {
-    Long orderedAtMs = savingSinceMs.get(key);
-    return orderedAtMs != null && nowMs - orderedAtMs < SAVE_AGAIN_MS;
+    Long orderedAtMs = saveOrderedAtMs.get(key);
+    return orderedAtMs != null && nowMs - orderedAtMs < SAVE_RETRY_MS;
   }
 
-  void saving(String key, long nowMs) {
-    savingSinceMs.put(key, nowMs);
+  void recordSave(String key, long nowMs) {
+    saveOrderedAtMs.put(key, nowMs);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/PartStores.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/PartStores.java
@@ -24,7 +24,7 @@
 import java.util.function.Predicate;
 import org.jspecify.annotations.Nullable;
 import org.landingtrack.internal.base.Hashes;
-import org.landingtrack.internal.loads.LoadNews.Load;
+import org.landingtrack.internal.loads.GossipMessage.Load;
 import org.landingtrack.internal.loads.PeerLoads;
 import org.landingtrack.internal.serving.PartStore.StoreInfo;
 import org.landingtrack.internal.serving.ServiceInfo.EngineInfo;
@@ -35,10 +35,10 @@
  */
 public final class PartStores {
   /** Parts with fewer tokens than this take less time to prefill than to transfer. */
-  private static final int MIN_TOKENS = 64;
+  private static final int MIN_SAVED_TOKENS = 64;
 
   /** Parts with more tokens than this are saved in the largest stores, except a prompt's first. */
-  private static final int LONG_TOKENS = 1_000;
+  private static final int LONG_PART_TOKENS = 1_000;
 
   /**
    * Maximum expected time of a save in milliseconds. Engines give up a transfer that would wait for
@@ -51,7 +51,7 @@
    * when the store for another save is selected, but not in the expected time of fetches: counted
    * there, they caused more prefill than necessary.
    */
-  private static final Object SAVES = new Object();
+  private static final Object SAVE_OWNER = new Object();
 
   private final EventLoop loop;
   private final PeerLoads peerLoads;
@@ -81,13 +81,13 @@
     Comparator<PartStore> bySpeed = Comparator.comparingDouble(store -> -store.info().linkMbps());
     Comparator<PartStore> bySize =
         Comparator.comparingLong(store -> -store.info().capacityTokens());
-    fastest = first(bySpeed);
-    largest = first(bySize);
+    fastest = topRanked(bySpeed);
+    largest = topRanked(bySize);
     return added;
   }
 
   /** Returns all stores that rank first by {@code order}, sorted by address. */
-  private List<PartStore> first(Comparator<PartStore> order) {
+  private List<PartStore> topRanked(Comparator<PartStore> order) {
     List<PartStore> all = new ArrayList<>(byAddress.values());
     all.sort(order.thenComparing(store -> store.info().address()));
     List<PartStore> best = new ArrayList<>();
@@ -109,12 +109,12 @@
    * assumed. Without this, an answer that waited in the socket while this VM was suspended, and was
    * the first to report the servers' time, was treated as new and used for 0.9 s.
    */
-  void toldEarlier(long ms) {
-    byAddress.values().forEach(store -> store.confirmedEarlier(ms));
+  void backdateAnswers(long ms) {
+    byAddress.values().forEach(store -> store.backdateAnswer(ms));
   }
 
   /** Applies the full list of a store: the tokens of each part at {@code atMs}, by SCOPE/PART. */
-  void listed(String address, long epoch, long atMs, Map<String, Integer> parts) {
+  void replaceParts(String address, long epoch, long atMs, Map<String, Integer> parts) {
     PartStore store = byAddress.get(address);
     if (store != null) {
       store.replaceAll(epoch, parts, atMs, loop.millis());
@@ -122,7 +122,7 @@
   }
 
   /** Applies the changes in a store up to {@code atMs}. */
-  void changed(
+  void applyChanges(
       String address,
       long epoch,
       long atMs,
@@ -132,13 +132,13 @@
     if (store == null) {
       return;
     }
-    store.confirmed(epoch, atMs, loop.millis());
-    added.forEach(store::added);
-    removed.forEach(store::removed);
+    store.recordAnswer(epoch, atMs, loop.millis());
+    added.forEach(store::addPart);
+    removed.forEach(store::removePart);
   }
 
   /** Returns the stores from which a part can be fetched. */
-  List<PartStore> holding(String key, long now) {
+  List<PartStore> storesWith(String key, long now) {
     List<PartStore> holding = new ArrayList<>();
     for (PartStore store : byAddress.values()) {
       if (store.canFetch(key, now)) {
@@ -155,24 +155,24 @@
    * @param engine the engine that will have the parts
    * @param allowed accepts the stores in which the parts may be stored
    */
-  List<String> save(
+  List<String> startSaves(
       String scope, Prompt prompt, EngineInfo info, Backend engine, Predicate<PartStore> allowed) {
     long now = loop.millis();
     List<String> save = new ArrayList<>();
     int shared = prompt.parts().size() - 1;
     for (int i = 0; i < prompt.parts().size(); i++) {
       Prompt.Part part = prompt.parts().get(i);
-      boolean isSkipped = i >= shared || !holding(key(scope, part), now).isEmpty();
+      boolean isSkipped = i >= shared || !storesWith(key(scope, part), now).isEmpty();
       PartStore target =
           isSkipped
               ? null
-              : target(scope, prompt, i, info, engine.entry().dataCentre(), allowed, now);
+              : saveTarget(scope, prompt, i, info, engine.entry().dataCentre(), allowed, now);
       save.add(target == null ? "" : target.info().address());
       if (target != null) {
-        target.saving(key(scope, part), now);
+        target.recordSave(key(scope, part), now);
         double linkMs = target.linkMs(part.tokens(), info, engine.entry().dataCentre());
         double endsInMs = part.tokens() * engine.msPerToken() + backlogMs(target) + linkMs;
-        target.saves().add(SAVES, linkMs, endsInMs, now);
+        target.saveBacklog().add(SAVE_OWNER, linkMs, endsInMs, now);
       }
     }
     return save;
@@ -183,24 +183,24 @@
     long now = loop.millis();
     List<Load> loads = new ArrayList<>();
     for (PartStore store : byAddress.values()) {
-      long ms = (long) store.backlog().ms(now);
+      long ms = (long) store.fetchBacklog().busyMs(now);
       if (ms > 0) {
-        loads.add(new Load(store.addressHash(), 0, store.backlog().size(), ms, 0));
+        loads.add(new Load(store.addressHash(), 0, store.fetchBacklog().size(), ms, 0));
       }
     }
     return loads;
   }
 
   /** Records that the fetches of a request have ended. */
-  void fetched(Object request) {
+  void endFetches(Object request) {
     for (PartStore store : byAddress.values()) {
-      store.backlog().over(request);
+      store.fetchBacklog().removeAll(request);
     }
   }
 
   /** Returns the time in ms for which the known fetches of all VMs occupy a store's link. */
   double backlogMs(PartStore store) {
-    return store.backlog().ms(loop.millis()) + peerLoads.movingMs(store.addressHash());
+    return store.fetchBacklog().busyMs(loop.millis()) + peerLoads.transferMs(store.addressHash());
   }
 
   /**
@@ -209,7 +209,7 @@
    * stores, as they would fill the fast ones. If none of these can take the part, any other store
    * may.
    */
-  private @Nullable PartStore target(
+  private @Nullable PartStore saveTarget(
       String scope,
       Prompt prompt,
       int index,
@@ -219,28 +219,28 @@
       long now) {
     Prompt.Part part = prompt.parts().get(index);
     String key = key(scope, part);
-    if (part.tokens() < MIN_TOKENS || isSavedAnywhere(key, now)) {
+    if (part.tokens() < MIN_SAVED_TOKENS || isSavedAnywhere(key, now)) {
       return null;
     }
-    boolean isLong = index > 0 && part.tokens() > LONG_TOKENS;
+    boolean isLong = index > 0 && part.tokens() > LONG_PART_TOKENS;
     List<PartStore> best = isLong ? largest : fastest;
-    PartStore preferred = soonest(best, key, part, info, dataCentre, allowed, now);
+    PartStore preferred = earliestStore(best, key, part, info, dataCentre, allowed, now);
     return preferred != null
         ? preferred
-        : soonest(byAddress.values(), key, part, info, dataCentre, allowed, now);
+        : earliestStore(byAddress.values(), key, part, info, dataCentre, allowed, now);
   }
 
   /** Returns true if any store has the part or is saving it, even if its state has expired. */
   private boolean isSavedAnywhere(String key, long now) {
     for (PartStore store : byAddress.values()) {
-      if (store.holds(key) || store.isSaving(key, now)) {
+      if (store.hasPart(key) || store.isSaving(key, now)) {
         return true;
       }
     }
     return false;
   }
 
-  private @Nullable PartStore soonest(
+  private @Nullable PartStore earliestStore(
       Collection<PartStore> stores,
       String key,
       Prompt.Part part,
@@ -253,7 +253,9 @@
     double bestMs = MAX_SAVE_WAIT_MS;
     for (PartStore store : stores) {
       double ms =
-          backlogMs(store) + store.saves().ms(now) + store.linkMs(part.tokens(), info, dataCentre);
+          backlogMs(store)
+              + store.saveBacklog().busyMs(now)
+              + store.linkMs(part.tokens(), info, dataCentre);
       boolean better =
           ms < bestMs || (ms == bestMs && best != null && isPreferred(hash, store, best));
       if (better && allowed.test(store) && store.canSave(key, part.tokens(), now)) {
@@ -266,8 +268,8 @@
 
   /** Breaks ties by hash, so that parts are spread evenly over equal stores. */
   private static boolean isPreferred(long partHash, PartStore store, PartStore other) {
-    return Hashes.weight(partHash, store.addressHash())
-        > Hashes.weight(partHash, other.addressHash());
+    return Hashes.combine(partHash, store.addressHash())
+        > Hashes.combine(partHash, other.addressHash());
   }
 
   static String key(String scope, Prompt.Part part) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/PartMoves.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/PartTransfers.java
@@ -23,14 +23,14 @@
  *
  * @param fetch the address of the source store for each part; empty if the part is not fetched
  * @param save the address of the target store for each part; empty if the part is not saved
- * @param untilMs the time on the event loop's clock after which the data of an unfinished fetch is
- *     discarded
+ * @param fetchDeadlineMs the time on the event loop's clock after which the data of an unfinished
+ *     fetch is discarded
  */
-public record PartMoves(List<String> fetch, List<String> save, long untilMs) {
+public record PartTransfers(List<String> fetch, List<String> save, long fetchDeadlineMs) {
   /** No transfers. */
-  public static final PartMoves NONE = new PartMoves(List.of(), List.of(), 0);
+  public static final PartTransfers NONE = new PartTransfers(List.of(), List.of(), 0);
 
-  public PartMoves {
+  public PartTransfers {
     fetch = List.copyOf(fetch);
     save = List.copyOf(save);
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/KeptParts.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/PrefixCacheEstimate.java
@@ -24,30 +24,30 @@
  * itself, least recently used first out, up to a share of the engine's memory. Parts are identified
  * by scope and key. Not thread-safe; used on the event loop.
  */
-final class KeptParts {
+final class PrefixCacheEstimate {
   /** Share of an engine's memory that the parts sent by this VM are assumed to occupy. */
-  private static final double KEPT_SHARE = 0.3;
+  private static final double CACHED_SHARE = 0.3;
 
-  private final Map<String, Integer> kept = new LinkedHashMap<>(16, 0.75f, true);
-  private long keptTokens;
+  private final Map<String, Integer> cachedParts = new LinkedHashMap<>(16, 0.75f, true);
+  private long cachedTokens;
 
   /** Records that the engine prefilled a prompt; {@code cacheTokens} is its capacity. */
-  void read(String scope, Prompt prompt, int cacheTokens) {
+  void recordPrefill(String scope, Prompt prompt, int cacheTokens) {
     for (Prompt.Part part : prompt.parts()) {
-      Integer previous = kept.put(scope + '/' + part.key(), part.tokens());
-      keptTokens += part.tokens() - (previous == null ? 0 : previous);
+      Integer previous = cachedParts.put(scope + '/' + part.key(), part.tokens());
+      cachedTokens += part.tokens() - (previous == null ? 0 : previous);
     }
-    long limit = (long) (cacheTokens * KEPT_SHARE);
-    var eldest = kept.entrySet().iterator();
-    while (keptTokens > limit && eldest.hasNext()) {
-      keptTokens -= eldest.next().getValue();
+    long limit = (long) (cacheTokens * CACHED_SHARE);
+    var eldest = cachedParts.entrySet().iterator();
+    while (cachedTokens > limit && eldest.hasNext()) {
+      cachedTokens -= eldest.next().getValue();
       eldest.remove();
     }
   }
 
   /** Returns the number of leading tokens of a prompt that the engine has probably cached. */
-  int leadingTokens(String scope, Prompt prompt) {
-    return leadingTokens(PartStores.keys(scope, prompt), prompt);
+  int cachedPrefixTokens(String scope, Prompt prompt) {
+    return cachedPrefixTokens(PartStores.keys(scope, prompt), prompt);
   }
 
   /**
@@ -55,9 +55,9 @@
    *
    * @param keys the keys of the prompt's parts, from {@link PartStores#keys}
    */
-  int leadingTokens(List<String> keys, Prompt prompt) {
+  int cachedPrefixTokens(List<String> keys, Prompt prompt) {
     int sum = 0;
-    for (int i = 0; i < keys.size() && kept.containsKey(keys.get(i)); i++) {
+    for (int i = 0; i < keys.size() && cachedParts.containsKey(keys.get(i)); i++) {
       sum += prompt.parts().get(i).tokens();
     }
     return sum;
@@ -65,7 +65,7 @@
 
   /** Removes all parts; called after the engine's weights changed. */
   void clear() {
-    kept.clear();
-    keptTokens = 0;
+    cachedParts.clear();
+    cachedTokens = 0;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/RequestSuspicion.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/RequestQuarantine.java
@@ -24,7 +24,7 @@
  * Looks up one request in the {@link Quarantine}, which counts the servers that crashed while they
  * processed it, over all its attempts at all VMs. Used on the event loop only.
  */
-final class RequestSuspicion {
+final class RequestQuarantine {
   private final CallerRequest request;
   private final Quarantine quarantine;
   private final Supplier<String> team;
@@ -35,7 +35,7 @@
    *
    * @param team gives the name of its team; called only once the team is known
    */
-  RequestSuspicion(CallerRequest request, Quarantine quarantine, Supplier<String> team) {
+  RequestQuarantine(CallerRequest request, Quarantine quarantine, Supplier<String> team) {
     this.request = request;
     this.quarantine = quarantine;
     this.team = team;
@@ -53,41 +53,41 @@
     return known;
   }
 
-  private int ends() {
-    return quarantine.mayKnow(request.body().length) ? quarantine.ends(digest()) : 0;
+  private int crashes() {
+    return quarantine.mayContain(request.body().length) ? quarantine.crashCount(digest()) : 0;
   }
 
   /** Returns true if the request is quarantined, so that no server may get it. */
   boolean isQuarantined() {
-    return ends() >= Quarantine.MAX_ENDS;
+    return crashes() >= Quarantine.MAX_CRASHES;
   }
 
   /** Returns true if one more server crash would not yet quarantine the request. */
-  boolean allowsOneMoreEnd() {
-    return ends() < Quarantine.MAX_ENDS - 1;
+  boolean allowsOneMoreCrash() {
+    return crashes() < Quarantine.MAX_CRASHES - 1;
   }
 
   /**
    * Returns true if the digest is that of the request. Hashes the body only if its length matches.
    */
-  boolean isOf(RequestDigest other) {
+  boolean matches(RequestDigest other) {
     return request.body().length == other.bodyBytes() && digest().equals(other);
   }
 
   /** Records that a server processed the request without a crash. */
-  void endedWell() {
-    if (ends() > 0) {
-      quarantine.endedWell(digest());
+  void recordSuccess() {
+    if (crashes() > 0) {
+      quarantine.recordSuccess(digest());
     }
   }
 
   /** Returns how much longer the request is quarantined, in milliseconds. */
   long leftMs() {
-    return quarantine.leftMs(digest());
+    return quarantine.remainingMs(digest());
   }
 
   /** Returns the reason for the quarantine, for the log and the caller. */
   String why() {
-    return ends() + " servers crashed while processing this request, digest " + digest().hex();
+    return crashes() + " servers crashed while processing this request, digest " + digest().hex();
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/WaitingRuns.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/RequestQueue.java
@@ -27,28 +27,28 @@
  * engine they could no longer be sent elsewhere, reordered or refused, and what is known about the
  * cached parts that they fetch would be too old when their turn comes. Used on the event loop only.
  */
-final class WaitingRuns {
+final class RequestQueue {
   /**
    * The wait that offsets one step of priority: less urgent requests wait longer, but never starve.
    */
-  private static final long RANK_MS = 300;
+  private static final long WAIT_PER_PRIORITY_MS = 300;
 
   /**
    * How often it is checked whether queued requests can be sent; load reports of other VMs arrive
    * at least as often.
    */
-  private static final long LOOK_EVERY_MS = 50;
+  private static final long RETRY_INTERVAL_MS = 50;
 
   /** The window over which the rate at which queued requests start is measured. */
-  private static final long RATE_SPAN_MS = 2_000;
+  private static final long RATE_WINDOW_MS = 2_000;
 
   private final EventLoop loop;
   private final List<Waiting> waiting = new ArrayList<>();
-  private final Deque<Begun> begun = new ArrayDeque<>();
-  private boolean lookIsDue;
+  private final Deque<Started> started = new ArrayDeque<>();
+  private boolean retryScheduled;
 
   /** A queued request that was sent. */
-  private record Begun(long atMs, long tokens) {}
+  private record Started(long atMs, long tokens) {}
 
   /**
    * A queued request.
@@ -57,19 +57,19 @@
    */
   private record Waiting(RequestRun run, long turnMs) {}
 
-  WaitingRuns(EventLoop loop) {
+  RequestQueue(EventLoop loop) {
     this.loop = loop;
   }
 
   /**
-   * Adds a request if it is not queued yet. Later {@link RequestRun#tryNow} sends it once a server
-   * can start it soon.
+   * Adds a request if it is not queued yet. Later {@link RequestRun#trySendQueued} sends it once a
+   * server can start it soon.
    */
   void add(RequestRun run, int priority) {
     if (!contains(run)) {
-      waiting.add(new Waiting(run, run.request().receivedAtMs() + priority * RANK_MS));
+      waiting.add(new Waiting(run, run.request().receivedAtMs() + priority * WAIT_PER_PRIORITY_MS));
     }
-    lookLater();
+    scheduleRetry();
   }
 
   /** Returns true if the request is queued. */
@@ -92,9 +92,9 @@
   }
 
   /** Records that a request is sent, and removes it if it was queued. */
-  void begins(RequestRun run) {
+  void recordStart(RequestRun run) {
     if (contains(run)) {
-      begun.add(new Begun(loop.millis(), run.memoryTokens()));
+      started.add(new Started(loop.millis(), run.memoryTokens()));
       remove(run);
     }
   }
@@ -104,12 +104,12 @@
    * divided by the rate at which queued ones were sent lately; 0 if none was sent lately.
    */
   long expectedWaitMs(RequestRun run) {
-    long windowStartMs = loop.millis() - RATE_SPAN_MS;
-    while (!begun.isEmpty() && begun.peek().atMs < windowStartMs) {
-      begun.remove();
+    long windowStartMs = loop.millis() - RATE_WINDOW_MS;
+    while (!started.isEmpty() && started.peek().atMs < windowStartMs) {
+      started.remove();
     }
     long startedTokens = 0;
-    for (Begun each : begun) {
+    for (Started each : started) {
       startedTokens += each.tokens;
     }
     long queuedTokens = 0;
@@ -118,11 +118,11 @@
         queuedTokens += each.run.memoryTokens();
       }
     }
-    return startedTokens == 0 ? 0 : queuedTokens * RATE_SPAN_MS / startedTokens;
+    return startedTokens == 0 ? 0 : queuedTokens * RATE_WINDOW_MS / startedTokens;
   }
 
   /** Returns the sum of {@link RequestRun#size} over the queued requests that match. */
-  long sizes(Predicate<RequestRun> filter) {
+  long totalSize(Predicate<RequestRun> filter) {
     long sum = 0;
     for (Waiting each : waiting) {
       sum += filter.test(each.run) ? each.run.size() : 0;
@@ -130,12 +130,12 @@
     return sum;
   }
 
-  private void lookLater() {
-    if (lookIsDue || waiting.isEmpty()) {
+  private void scheduleRetry() {
+    if (retryScheduled || waiting.isEmpty()) {
       return;
     }
-    lookIsDue = true;
-    loop.schedule(LOOK_EVERY_MS, this::look);
+    retryScheduled = true;
+    loop.schedule(RETRY_INTERVAL_MS, this::retryAll);
   }
 
   /**
@@ -143,14 +143,14 @@
    * wait does not block the others. Those that can no longer meet their target latency come after
    * those that can.
    */
-  private void look() {
-    lookIsDue = false;
+  private void retryAll() {
+    retryScheduled = false;
     List<Waiting> inOrder = new ArrayList<>(waiting);
     inOrder.sort(
         Comparator.comparing((Waiting each) -> each.run.isLate()).thenComparing(Waiting::turnMs));
     for (Waiting each : inOrder) {
-      each.run.tryNow();
+      each.run.trySendQueued();
     }
-    lookLater();
+    scheduleRetry();
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/RequestRun.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/RequestRun.java
@@ -18,13 +18,13 @@
 import org.jspecify.annotations.Nullable;
 import org.landingtrack.ErrorKind;
 import org.landingtrack.internal.base.Hashes;
-import org.landingtrack.internal.overload.Verdict;
+import org.landingtrack.internal.overload.AdmissionDecision;
 import org.landingtrack.internal.quarantine.RequestDigest;
-import org.landingtrack.internal.serving.BackendTransport.AnswerHead;
+import org.landingtrack.internal.serving.AttemptPlanner.AttemptPlan;
 import org.landingtrack.internal.serving.BackendTransport.NotRunReason;
+import org.landingtrack.internal.serving.BackendTransport.ResponseHead;
 import org.landingtrack.internal.serving.BackendTransport.StreamEvent;
-import org.landingtrack.internal.serving.Route.Repeat;
-import org.landingtrack.internal.serving.SendPlanner.SendPlan;
+import org.landingtrack.internal.serving.Route.RetryMode;
 
 /**
  * Processes one request of a caller, from route lookup to the end of its response. A request is
@@ -34,34 +34,34 @@
  */
 public final class RequestRun {
   /** The size of a request to a plain service: one slot of a server, in hundredths of a slot. */
-  static final long PLAIN_SIZE = 100;
+  static final long PLAIN_REQUEST_SIZE = 100;
 
   /** The least retry delay that a refused caller is given when no server can take its request. */
-  private static final long RETRY_AFTER_MS = 250;
+  private static final long MIN_RETRY_AFTER_MS = 250;
 
   private final Serving serving;
   private final CallerRequest request;
-  private final CallerAnswer answer;
+  private final CallerResponse response;
   private final EventLoop loop;
-  private final SendHistory history = new SendHistory();
+  private final AttemptHistory history = new AttemptHistory();
 
   private @Nullable Route route;
   private @Nullable Team team;
   private String service = "";
-  private long endsAtMs;
-  private EventLoop.@Nullable Timer deadline;
-  private final Answers answers = new Answers();
-  private @Nullable SendPlanner planner;
+  private long deadlineAtMs;
+  private EventLoop.@Nullable Timer deadlineTimer;
+  private final OutcomeHandler outcomeHandler = new OutcomeHandler();
+  private @Nullable AttemptPlanner planner;
   private @Nullable Attempt attempt;
-  private final RequestSuspicion suspicion;
+  private final RequestQuarantine quarantine;
   private boolean done;
 
   RequestRun(Serving serving, CallerRequest request, CallerSink sink) {
     this.serving = serving;
     this.request = request;
     this.loop = serving.loop();
-    this.answer = new CallerAnswer(request, sink, loop);
-    this.suspicion = new RequestSuspicion(request, serving.state().quarantine(), this::teamName);
+    this.response = new CallerResponse(request, sink, loop);
+    this.quarantine = new RequestQuarantine(request, serving.state().quarantine(), this::teamName);
   }
 
   public CallerRequest request() {
@@ -85,7 +85,7 @@
 
   /** Returns the digest of the request; retries of its caller have the same digest. */
   public RequestDigest digest() {
-    return suspicion.digest();
+    return quarantine.digest();
   }
 
   /** Returns the time since the request was received, in milliseconds. */
@@ -96,7 +96,8 @@
   void start() {
     ServingConfig config = serving.state().config();
     if (config == null || !serving.state().ready()) {
-      refuse(ErrorKind.NOT_READY, "configuration or server list not loaded yet", RETRY_AFTER_MS);
+      refuse(
+          ErrorKind.NOT_READY, "configuration or server list not loaded yet", MIN_RETRY_AFTER_MS);
       return;
     }
     Route matched = config.route(request.host(), request.path()).orElse(null);
@@ -105,92 +106,94 @@
       return;
     }
     route = matched;
-    if (!matched.open() && config.needsKeys()) {
+    if (!matched.allowsAnonymous() && config.requiresApiKeys()) {
       team = config.team(request.key()).orElse(null);
       if (team == null) {
         refuse(ErrorKind.UNAUTHENTICATED, "missing or unknown API key", 0);
         return;
       }
     }
-    service = matched.service(Hashes.placement(request.splitKey()));
-    planner = new SendPlanner(serving, request, matched, team, service);
-    serving.state().retries(service).request(serving.options().retryPercent());
+    service = matched.serviceFor(Hashes.placement(request.trafficSplitKey()));
+    planner = new AttemptPlanner(serving, request, matched, team, service);
+    serving.state().retries(service).recordRequest(serving.options().retryPercent());
     long timeoutMs = matched.timeoutMs();
     if (request.deadlineMs() > 0) {
       timeoutMs = Math.min(timeoutMs, request.deadlineMs());
     }
-    endsAtMs = request.receivedAtMs() + timeoutMs;
-    if (endsAtMs - loop.millis() <= SendHistory.MIN_LEFT_MS) {
+    deadlineAtMs = request.receivedAtMs() + timeoutMs;
+    if (deadlineAtMs - loop.millis() <= AttemptHistory.MIN_ATTEMPT_MS) {
       refuse(
           ErrorKind.OVERLOADED,
           "the request's deadline passed, or nearly so, before this VM could read it",
-          RETRY_AFTER_MS);
+          MIN_RETRY_AFTER_MS);
       return;
     }
-    Verdict verdict = serving.admission().decide(this, matched, endsAtMs - loop.millis());
+    AdmissionDecision verdict =
+        serving.admission().decide(this, matched, deadlineAtMs - loop.millis());
     if (!verdict.isAdmitted()) {
-      refuse(ErrorKind.OVERLOADED, verdict.why(), verdict.retryAfterMs());
+      refuse(ErrorKind.OVERLOADED, verdict.reason(), verdict.retryAfterMs());
       return;
     }
-    deadline = loop.schedule(Math.max(0, endsAtMs - loop.millis()), this::expire);
+    deadlineTimer = loop.schedule(Math.max(0, deadlineAtMs - loop.millis()), this::expire);
     send();
   }
 
   /** Sends a waiting request if a server can start it soon. */
-  void tryNow() {
+  void trySendQueued() {
     if (!done && attempt == null) {
       send();
     }
   }
 
   private void send() {
-    SendPlanner currentPlanner = planner;
+    AttemptPlanner currentPlanner = planner;
     Route currentRoute = route;
     if (done || currentPlanner == null || currentRoute == null) {
       return;
     }
-    if (suspicion.isQuarantined()) {
+    if (quarantine.isQuarantined()) {
       endQuarantined();
       return;
     }
-    SendPlan plan = currentPlanner.plan(history);
+    AttemptPlan plan = currentPlanner.plan(history);
     if (plan == null) {
-      awaitTurn(currentPlanner, currentRoute);
+      queueOrFail(currentPlanner, currentRoute);
       return;
     }
-    if (!isAdmitted(plan, currentRoute)) {
+    if (!admitOrQueue(plan, currentRoute)) {
       return;
     }
-    currentPlanner.begins(plan);
+    currentPlanner.recordStart(plan);
     Backend backend = plan.backend();
-    PartMoves moves = currentPlanner.moves(plan);
-    int attempts = history.begin(backend.entry().id());
+    PartTransfers moves = currentPlanner.startTransfers(plan);
+    int attempts = history.recordAttempt(backend.entry().id());
     serving.log().routed(this, currentPlanner.facts(plan, moves, attempts));
-    Attempt next = new Attempt(request, plan, serving, answers);
+    Attempt next = new Attempt(request, plan, serving, outcomeHandler);
     attempt = next;
-    long leftMs = Math.max(1, endsAtMs - loop.millis());
+    long leftMs = Math.max(1, deadlineAtMs - loop.millis());
     next.start(
         serving.transport(),
-        currentPlanner.call(plan, moves, leftMs, answer.lastEventId()),
-        currentPlanner.mayBeginMs(plan));
+        currentPlanner.createCall(plan, moves, leftMs, response.lastEventId()),
+        currentPlanner.startTimeoutMs(plan));
   }
 
   /**
    * Queues a request that no server may have now, if its turn comes in time at a server that is
    * skipped only because it is cold or has a rate limit; otherwise ends the request.
    */
-  private void awaitTurn(SendPlanner currentPlanner, Route currentRoute) {
-    WaitingRuns waiting = serving.waiting();
+  private void queueOrFail(AttemptPlanner currentPlanner, Route currentRoute) {
+    RequestQueue waiting = serving.waiting();
     long waitMs = currentPlanner.waitMs(waiting.size());
-    boolean hasWaited = waiting.contains(this) && currentPlanner.mayHaveTurn();
+    boolean hasWaited = waiting.contains(this) && currentPlanner.canWaitForServer();
     // A queued request was admitted with the load known at that time. It stays in the queue until
     // no response can come before its deadline.
-    if (EngineAdmission.isInTime(hasWaited ? 0 : waitMs, endsAtMs - loop.millis())) {
+    if (EngineAdmission.isInTime(hasWaited ? 0 : waitMs, deadlineAtMs - loop.millis())) {
       waiting.add(this, currentRoute.priority());
       return;
     }
-    failWithout(
-        currentPlanner.whyNone(), retryAfterMs(Math.min(waitMs, currentPlanner.restLeftMs())));
+    failWithoutServer(
+        currentPlanner.unavailableReason(),
+        retryAfterMs(Math.min(waitMs, currentPlanner.remainingBackoffMs())));
   }
 
   /**
@@ -199,24 +202,24 @@
    */
   private long retryAfterMs(long waitMs) {
     long callerHash = Hashes.placement(request.id());
-    long leftMs = endsAtMs - loop.millis();
+    long leftMs = deadlineAtMs - loop.millis();
     return waitMs == Long.MAX_VALUE
-        ? RETRY_AFTER_MS
-        : Math.max(RETRY_AFTER_MS, EngineAdmission.retryAfterMs(waitMs, leftMs, callerHash));
+        ? MIN_RETRY_AFTER_MS
+        : Math.max(MIN_RETRY_AFTER_MS, EngineAdmission.retryAfterMs(waitMs, leftMs, callerHash));
   }
 
   /** Returns true if the request may be sent now; otherwise queues or refuses it. */
-  private boolean isAdmitted(SendPlan plan, Route currentRoute) {
+  private boolean admitOrQueue(AttemptPlan plan, Route currentRoute) {
     if (plan.cacheTokens() == 0) {
-      serving.waiting().begins(this);
+      serving.waiting().recordStart(this);
       return true;
     }
     long waitMs = expectedWaitMs();
-    long leftMs = endsAtMs - loop.millis();
+    long leftMs = deadlineAtMs - loop.millis();
     switch (EngineAdmission.decide(
         plan.choice(), ageMs(), currentRoute.targetLatencyMs(), leftMs, waitMs)) {
       case SEND -> {
-        serving.waiting().begins(this);
+        serving.waiting().recordStart(this);
         serving.admission().sent(this);
         return true;
       }
@@ -232,8 +235,8 @@
    * come before its deadline.
    */
   private long expectedWaitMs() {
-    WaitingRuns waiting = serving.waiting();
-    boolean staysQueued = serving.admission().isOn() && waiting.contains(this);
+    RequestQueue waiting = serving.waiting();
+    boolean staysQueued = serving.admission().isEnabled() && waiting.contains(this);
     return staysQueued ? 0 : waiting.expectedWaitMs(this);
   }
 
@@ -244,8 +247,8 @@
             + " ms, and "
             + leftMs
             + " ms are left until its deadline";
-    if (history.inDoubt() || answer.hasBegunStream()) {
-      failWithout(why);
+    if (history.inDoubt() || response.hasStartedStream()) {
+      failWithoutServer(why);
       return;
     }
     long retryMs = EngineAdmission.retryAfterMs(waitMs, leftMs, Hashes.placement(request.id()));
@@ -268,7 +271,7 @@
    * hundredths of a slot for a plain service.
    */
   long size() {
-    return request.prompt() == null ? PLAIN_SIZE : Math.max(1, memoryTokens());
+    return request.prompt() == null ? PLAIN_REQUEST_SIZE : Math.max(1, memoryTokens());
   }
 
   /** Returns the most KV cache that the request takes at an engine, in tokens. */
@@ -284,39 +287,39 @@
   }
 
   private void endQuarantined() {
-    String why = suspicion.why();
-    boolean isNeverRepeated = route != null && route.repeat() == Repeat.NEVER;
-    if (answer.hasBegunStream() || (history.inDoubt() && isNeverRepeated)) {
-      failWithout(why);
+    String why = quarantine.why();
+    boolean isNeverRepeated = route != null && route.retryMode() == RetryMode.NEVER;
+    if (response.hasStartedStream() || (history.inDoubt() && isNeverRepeated)) {
+      failWithoutServer(why);
       return;
     }
-    refuse(ErrorKind.QUARANTINED, why, suspicion.leftMs());
+    refuse(ErrorKind.QUARANTINED, why, quarantine.leftMs());
   }
 
   /**
    * Ends this request if it is the one that was quarantined, unless a server has already started
    * it.
    */
-  void quarantined(RequestDigest quarantinedDigest) {
-    boolean isThis = !done && suspicion.isOf(quarantinedDigest);
+  void onQuarantined(RequestDigest quarantinedDigest) {
+    boolean isThis = !done && quarantine.matches(quarantinedDigest);
     Attempt current = attempt;
-    if (!isThis || (current != null && current.hasBegun())) {
+    if (!isThis || (current != null && current.hasStarted())) {
       return;
     }
     if (current != null) {
       cancel(current);
-      history.mayHaveRun();
+      history.markInDoubt();
     }
     endQuarantined();
   }
 
-  private boolean maySendAgain() {
+  private boolean mayRetry() {
     Route current = route;
-    return current != null && history.maySendAgain(current, endsAtMs - loop.millis());
+    return current != null && history.mayRetry(current, deadlineAtMs - loop.millis());
   }
 
-  private boolean trySendAgain() {
-    if (!maySendAgain() || !serving.state().retries(service).tryRetry()) {
+  private boolean tryRetry() {
+    if (!mayRetry() || !serving.state().retries(service).tryRetry()) {
       return false;
     }
     send();
@@ -324,14 +327,14 @@
   }
 
   /** Ends a request that has no further server; the error tells whether it may have run. */
-  private void failWithout(String why) {
-    failWithout(why, RETRY_AFTER_MS);
+  private void failWithoutServer(String why) {
+    failWithoutServer(why, MIN_RETRY_AFTER_MS);
   }
 
-  private void failWithout(String why, long retryAfterMs) {
-    if (answer.hasBegunStream()) {
-      cut(why);
-    } else if (history.inDoubt() && route != null && route.repeat() == Repeat.NEVER) {
+  private void failWithoutServer(String why, long retryAfterMs) {
+    if (response.hasStartedStream()) {
+      abortStream(why);
+    } else if (history.inDoubt() && route != null && route.retryMode() == RetryMode.NEVER) {
       refuse(ErrorKind.OUTCOME_UNKNOWN, why, 0);
     } else {
       refuse(ErrorKind.NO_BACKEND_SERVER, why, retryAfterMs);
@@ -345,56 +348,56 @@
     }
     if (current != null) {
       cancel(current);
-      history.mayHaveRun();
+      history.markInDoubt();
     }
-    if (answer.hasBegunStream()) {
-      cut("the time for the request is over");
+    if (response.hasStartedStream()) {
+      abortStream("the time for the request is over");
     } else if (history.inDoubt()) {
       refuse(ErrorKind.DEADLINE_IN_RUN, "the time for the request is over", 0);
     } else {
-      refuse(ErrorKind.OVERLOADED, "the time for the request is over", RETRY_AFTER_MS);
+      refuse(ErrorKind.OVERLOADED, "the time for the request is over", MIN_RETRY_AFTER_MS);
     }
   }
 
   /** Cancels the request because the caller closed its connection. */
-  public void callerGone() {
+  public void callerDisconnected() {
     if (done) {
       return;
     }
     String server = serverName();
-    stopAttempt();
+    cancelAttempt();
     finish();
-    serving.log().cut(this, server, "the caller left");
+    serving.log().aborted(this, server, "the caller left");
   }
 
   /**
    * Fails the attempt in flight if it was sent to a server incarnation that has been replaced by a
    * restart. That incarnation may have run the request.
    */
-  void serverStartedAgain(Backend replaced) {
+  void serverRestarted(Backend replaced) {
     Attempt current = attempt;
     if (current != null && current.backend() == replaced) {
-      current.breakOff("the server started again");
+      current.failInDoubt("the server started again");
     }
   }
 
   /** Ends the request because this process stops. */
-  void giveUp(String why) {
+  void abort(String why) {
     if (done) {
       return;
     }
     boolean mayHaveRun = history.inDoubt() || attempt != null;
-    stopAttempt();
-    if (answer.hasBegunStream()) {
-      cut(why);
+    cancelAttempt();
+    if (response.hasStartedStream()) {
+      abortStream(why);
     } else if (mayHaveRun) {
       refuse(ErrorKind.OUTCOME_UNKNOWN, why, 0);
     } else {
-      refuse(ErrorKind.STOPPING, why, RETRY_AFTER_MS);
+      refuse(ErrorKind.STOPPING, why, MIN_RETRY_AFTER_MS);
     }
   }
 
-  private void stopAttempt() {
+  private void cancelAttempt() {
     Attempt current = attempt;
     if (current != null) {
       cancel(current);
@@ -409,22 +412,22 @@
   private void refuse(ErrorKind kind, String why, long retryAfterMs) {
     finish();
     serving.log().refused(this, kind, why, retryAfterMs);
-    answer.refuse(kind, why, retryAfterMs);
+    response.refuse(kind, why, retryAfterMs);
   }
 
-  private void cut(String why) {
+  private void abortStream(String why) {
     String server = serverName();
     finish();
-    serving.log().cut(this, server, why);
-    answer.abort();
+    serving.log().aborted(this, server, why);
+    response.abort();
   }
 
   private void finish() {
     done = true;
-    if (deadline != null) {
-      deadline.cancel();
+    if (deadlineTimer != null) {
+      deadlineTimer.cancel();
     }
-    serving.ended(this);
+    serving.remove(this);
   }
 
   private String serverName() {
@@ -432,94 +435,98 @@
   }
 
   /** Handles the outcome of the attempt in flight: ends the request or retries it. */
-  private final class Answers implements Attempt.Outcome {
+  private final class OutcomeHandler implements Attempt.OutcomeListener {
     @Override
     public void notRun(Attempt sent, NotRunReason reason, String why) {
       attempt = null;
-      serving.log().tryFailed(RequestRun.this, sent.serverId(), "not-run " + reason, why);
+      serving.log().attemptFailed(RequestRun.this, sent.serverId(), "not-run " + reason, why);
       switch (reason) {
         case NO_CONNECTION -> {
-          noteFailure(sent, why);
-          if (history.notConnected()) {
+          recordFailure(sent, why);
+          if (history.recordConnectFailure()) {
             send();
             return;
           }
         }
         case RECALLED -> {
-          history.recalled(sent.serverId());
+          history.recordRecall(sent.serverId());
           send();
           return;
         }
         case OTHER_SERVER -> {
-          sent.backend().replacedByAnother();
-          serving.ends().ended(sent.backend());
-          serving.endedStarts().seen(sent.backend());
+          sent.backend().markReplaced();
+          serving.ends().onServerEnded(sent.backend());
+          serving.endedStarts().markEnded(sent.backend());
           serving.log().ejected(sent.serverId(), "another incarnation or server has its address");
         }
         case FULL -> sent.backend().refused(loop.millis());
         case OTHER_VERSION -> sent.refusedWeights(serving.state());
         case REFUSED, TOO_LATE -> {}
       }
-      if (!trySendAgain()) {
-        failWithout("not run: " + why);
+      if (!tryRetry()) {
+        failWithoutServer("not run: " + why);
       }
     }
 
-    private void noteFailure(Attempt sent, String why) {
+    private void recordFailure(Attempt sent, String why) {
       if (sent.backend().failed(loop.millis())) {
         serving.log().ejected(sent.serverId(), why);
       }
     }
 
     @Override
-    public void noticed(Attempt sent, ServerNotice notice) {
-      serving.notices().heard(sent.backend(), notice, sent.sentAtMs());
+    public void noticeReceived(Attempt sent, ServerNotice notice) {
+      serving.notices().apply(sent.backend(), notice, sent.sentAtMs());
     }
 
     @Override
-    public void streamStarts(AnswerHead head) {
-      answer.startStream(head);
+    public void streamStarted(ResponseHead head) {
+      response.startStream(head);
     }
 
     @Override
     public void event(StreamEvent event) {
-      answer.event(event);
+      response.event(event);
     }
 
     @Override
-    public void ended(Attempt sent, AnswerHead head, byte[] body) {
+    public void completed(Attempt sent, ResponseHead head, byte[] body) {
       attempt = null;
-      answer.noteFirst();
+      response.recordFirstResponse();
       if (head.isServerError()) {
-        serving.log().tryFailed(RequestRun.this, sent.serverId(), "status " + head.status(), "");
-        history.mayHaveRun();
-        if (trySendAgain()) {
+        serving
+            .log()
+            .attemptFailed(RequestRun.this, sent.serverId(), "status " + head.status(), "");
+        history.markInDoubt();
+        if (tryRetry()) {
           return;
         }
       } else {
         sent.succeeded();
-        serving.admission().answered(RequestRun.this);
-        suspicion.endedWell();
+        serving.admission().responded(RequestRun.this);
+        quarantine.recordSuccess();
       }
-      if (answer.hasBegunStream() && !head.isStream()) {
-        cut("the stream could not be resumed: the server responded with status " + head.status());
+      if (response.hasStartedStream() && !head.isStream()) {
+        abortStream(
+            "the stream could not be resumed: the server responded with status " + head.status());
         return;
       }
       finish();
       serving
           .log()
-          .answered(RequestRun.this, sent.serverId(), head.status(), answer.firstMs(), ageMs());
-      answer.end(head, body);
+          .answered(
+              RequestRun.this, sent.serverId(), head.status(), response.firstResponseMs(), ageMs());
+      response.end(head, body);
     }
 
     @Override
-    public void broken(Attempt sent, String why) {
+    public void outcomeUnknown(Attempt sent, String why) {
       attempt = null;
-      history.mayHaveRun();
-      noteFailure(sent, why);
-      serving.log().brokeOff(RequestRun.this, sent.serverId(), "in doubt", why);
-      serving.ends().brokeOff(suspicion.digest(), sent.backend());
-      goOnInDoubt(why);
+      history.markInDoubt();
+      recordFailure(sent, why);
+      serving.log().attemptInDoubt(RequestRun.this, sent.serverId(), "in doubt", why);
+      serving.ends().onRequestBroken(quarantine.digest(), sent.backend());
+      retryOrFailInDoubt(why);
     }
 
     /** Does not count as a failure of the server: its weights were replaced, or it was probed. */
@@ -530,22 +537,22 @@
               ? "an ejected server that was probed did not start the request in time"
               : "the server did not start the request before its weights became too old";
       attempt = null;
-      history.mayHaveRun();
-      serving.log().brokeOff(RequestRun.this, sent.serverId(), "withdrawn", why);
-      goOnInDoubt(why);
+      history.markInDoubt();
+      serving.log().attemptInDoubt(RequestRun.this, sent.serverId(), "withdrawn", why);
+      retryOrFailInDoubt(why);
     }
 
-    private void goOnInDoubt(String why) {
+    private void retryOrFailInDoubt(String why) {
       boolean mayRetry =
-          !answer.hasBegunStream() || (route != null && route.repeat() == Repeat.RESUME);
+          !response.hasStartedStream() || (route != null && route.retryMode() == RetryMode.RESUME);
       // Whether the server crashed is known only a moment later. If it did, that crash may
       // quarantine the request.
-      mayRetry &= suspicion.allowsOneMoreEnd();
-      if (mayRetry && trySendAgain()) {
+      mayRetry &= quarantine.allowsOneMoreCrash();
+      if (mayRetry && tryRetry()) {
         return;
       }
-      if (answer.hasBegunStream()) {
-        cut(why);
+      if (response.hasStartedStream()) {
+        abortStream(why);
       } else {
         refuse(ErrorKind.OUTCOME_UNKNOWN, why, 0);
       }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Route.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Route.java
@@ -22,31 +22,31 @@
  * be handled. Immutable.
  *
  * @param pathPrefix the prefix of the request path, which begins and ends with a slash
- * @param repeat what may be retried when a request may have run
+ * @param retryMode what may be retried when a request may have run
  * @param streaming true if responses are event streams
  * @param targets the services, each with its share of the requests
  * @param priority the priority of its requests; 0 is the most urgent
  * @param timeoutMs the maximum time that a request may take
  * @param targetLatencyMs the time within which a response (the first event of a stream) is in time
  * @param maxAttempts the maximum number of backend servers that one request may be sent to
- * @param open true if callers need no API key
- * @param eventGapMs the maximum time between two events of a stream that counts as in time
- * @param homes the regions in which its requests may run
+ * @param allowsAnonymous true if callers need no API key
+ * @param maxEventGapMs the maximum time between two events of a stream that counts as in time
+ * @param allowedRegions the regions in which its requests may run
  */
 public record Route(
     String name,
     String host,
     String pathPrefix,
-    Repeat repeat,
+    RetryMode retryMode,
     boolean streaming,
     List<Target> targets,
     int priority,
     long timeoutMs,
     long targetLatencyMs,
     int maxAttempts,
-    boolean open,
-    long eventGapMs,
-    Homes homes) {
+    boolean allowsAnonymous,
+    long maxEventGapMs,
+    AllowedRegions allowedRegions) {
   public Route {
     targets = List.copyOf(targets);
   }
@@ -56,7 +56,7 @@
       String name,
       String host,
       String pathPrefix,
-      Repeat repeat,
+      RetryMode repeat,
       boolean streaming,
       List<Target> targets,
       int priority,
@@ -78,14 +78,14 @@
         maxAttempts,
         open,
         eventGapMs,
-        Homes.ANYWHERE);
+        AllowedRegions.ALL_REGIONS);
   }
 
   /** A service and its weight, which is its share of the route's requests. */
   public record Target(String service, int weight) {}
 
   /** What may be retried when the request may already have run on a server. */
-  public enum Repeat {
+  public enum RetryMode {
     /** Nothing. */
     NEVER,
     /** The whole request. */
@@ -95,7 +95,7 @@
   }
 
   /** Returns the service for a request's hash; the same hash always gives the same service. */
-  public String service(long hash) {
+  public String serviceFor(long hash) {
     if (targets.size() == 1) {
       return targets.get(0).service();
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerRest.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerBackoff.java
@@ -20,7 +20,7 @@
  * request from it. The first request afterwards is the trial, which shows whether the server
  * accepts requests again. Not thread-safe.
  */
-final class ServerRest {
+final class ServerBackoff {
   /**
    * Upper bound of a backoff. A longer backoff would have the same effect as the end of the server,
    * whose next incarnation starts without a backoff.
@@ -39,20 +39,20 @@
    *
    * @return true if no backoff was active
    */
-  boolean asked(long restMs, long nowMs) {
-    boolean isNew = !isOn(nowMs);
+  boolean request(long restMs, long nowMs) {
+    boolean isNew = !isActive(nowMs);
     unproven = true;
     untilMs = Math.max(untilMs, nowMs + Math.min(restMs, MAX_MS));
     return isNew;
   }
 
-  boolean isOn(long nowMs) {
+  boolean isActive(long nowMs) {
     return nowMs < untilMs;
   }
 
   /** Notes a successful answer of the server. */
-  void proved(long nowMs) {
-    unproven &= isOn(nowMs);
+  void recordSuccess(long nowMs) {
+    unproven &= isActive(nowMs);
   }
 
   /**
@@ -63,13 +63,13 @@
    * @param avoidsTrial true if the request has no attempt left after this one, or a trial is in
    *     flight
    */
-  boolean isLeftToOthers(long nowMs, boolean avoidsTrial) {
-    boolean isOnTrial = unproven && !isOn(nowMs);
+  boolean isTrialLeftToOthers(long nowMs, boolean avoidsTrial) {
+    boolean isOnTrial = unproven && !isActive(nowMs);
     return isOnTrial && avoidsTrial && nowMs < untilMs + TRIAL_MS;
   }
 
   /** Returns the remaining backoff in milliseconds. */
-  long leftMs(long nowMs) {
-    return isOn(nowMs) ? untilMs - nowMs : 0;
+  long remainingMs(long nowMs) {
+    return isActive(nowMs) ? untilMs - nowMs : 0;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServersClock.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerClockEstimate.java
@@ -23,16 +23,16 @@
  * estimate is never ahead of the real clock, but may be behind it by the time that the first answer
  * lay in a socket while this VM was suspended. Not thread-safe; used on the event loop only.
  */
-public final class ServersClock {
+public final class ServerClockEstimate {
   /**
    * An offset that is not confirmed shrinks by 1/1000 of the elapsed time, to allow for clock
    * drift.
    */
-  private static final long DRIFT_PARTS = 1_000;
+  private static final long DRIFT_DIVISOR = 1_000;
 
-  private boolean known;
-  private long aheadMs;
-  private long sinceMs;
+  private boolean isKnown;
+  private long offsetMs;
+  private long updatedAtMs;
 
   /**
    * Notes a time that a server reported.
@@ -40,28 +40,28 @@
    * @return by how much the estimate moved forward, in milliseconds. An event loop time that was
    *     derived from a server time before this call is too late by this amount.
    */
-  public long told(long serverMs, long nowMs) {
+  public long observe(long serverMs, long nowMs) {
     long observedOffsetMs = serverMs - nowMs;
-    long driftMs = (nowMs - sinceMs) / DRIFT_PARTS;
-    if (known && observedOffsetMs < aheadMs - driftMs) {
+    long driftMs = (nowMs - updatedAtMs) / DRIFT_DIVISOR;
+    if (isKnown && observedOffsetMs < offsetMs - driftMs) {
       return 0;
     }
-    long advanceMs = known ? Math.max(0, observedOffsetMs - aheadMs) : 0;
-    known = true;
-    aheadMs = observedOffsetMs;
-    sinceMs = nowMs;
+    long advanceMs = isKnown ? Math.max(0, observedOffsetMs - offsetMs) : 0;
+    isKnown = true;
+    offsetMs = observedOffsetMs;
+    updatedAtMs = nowMs;
     return advanceMs;
   }
 
   /** Returns the servers' time at a time of the event loop; empty before the first observation. */
-  public OptionalLong at(long loopMs) {
-    return known && loopMs != Long.MAX_VALUE
-        ? OptionalLong.of(loopMs + aheadMs)
+  public OptionalLong serverTimeAt(long loopMs) {
+    return isKnown && loopMs != Long.MAX_VALUE
+        ? OptionalLong.of(loopMs + offsetMs)
         : OptionalLong.empty();
   }
 
   /** Returns the event loop time at a time of the servers, but no later than now. */
-  long loopMs(long serverMs, long nowMs) {
-    return known ? Math.min(nowMs, serverMs - aheadMs) : nowMs;
+  long loopTimeAt(long serverMs, long nowMs) {
+    return isKnown ? Math.min(nowMs, serverMs - offsetMs) : nowMs;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerEntry.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerEntry.java
@@ -56,7 +56,7 @@
   }
 
   /** Returns this entry with another start time, as that of another incarnation. */
-  ServerEntry startedAt(long newStartedMs) {
+  ServerEntry withStartedMs(long newStartedMs) {
     return new ServerEntry(
         id, service, address, dataCentre, slots, leaving, coldMs, weightVersions, newStartedMs);
   }
@@ -65,7 +65,7 @@
    * Returns true if this entry is known to be of a later incarnation than another entry of the
    * server.
    */
-  boolean isLaterStartThan(ServerEntry other) {
+  boolean isLaterIncarnationThan(ServerEntry other) {
     return startedMs > other.startedMs && other.startedMs > 0;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerLimit.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerLimit.java
@@ -30,13 +30,13 @@
    * Lower bound of the shared rate, which matters for a limit of zero. Without one request in ten
    * seconds, no VM would learn that the limit was lifted.
    */
-  private static final double LEAST_PER_SECOND = 0.1;
+  private static final double MIN_PER_SECOND = 0.1;
 
   private static final double MS_PER_SECOND = 1_000;
 
-  private boolean isOver = true;
+  private boolean isLifted = true;
   private double perSecond;
-  private long saidAtMs = Long.MIN_VALUE;
+  private long reportedAtMs = Long.MIN_VALUE;
   private final Deque<Long> sends = new ArrayDeque<>();
 
   /**
@@ -44,24 +44,24 @@
    *
    * @return true if that changes what is known
    */
-  boolean named(double limitPerSecond, long atMs) {
-    if (atMs < saidAtMs) {
+  boolean reported(double limitPerSecond, long atMs) {
+    if (atMs < reportedAtMs) {
       return false;
     }
-    boolean isNew = isOver || perSecond != limitPerSecond;
-    isOver = false;
+    boolean isNew = isLifted || perSecond != limitPerSecond;
+    isLifted = false;
     perSecond = limitPerSecond;
-    saidAtMs = atMs;
+    reportedAtMs = atMs;
     return isNew;
   }
 
   /** Applies a report that there is no limit any more; returns true if one was known. */
-  boolean ended(long atMs) {
-    if (isOver || atMs < saidAtMs) {
+  boolean lift(long atMs) {
+    if (isLifted || atMs < reportedAtMs) {
       return false;
     }
-    isOver = true;
-    saidAtMs = atMs;
+    isLifted = true;
+    reportedAtMs = atMs;
     sends.clear();
     return true;
   }
@@ -70,37 +70,37 @@
    * Returns true if an answer without a limit proves that the limit was lifted. Answers may
    * overtake each other, so its request must have been sent after this VM learned of the limit.
    */
-  boolean isEndedByAnswerTo(long sentAtMs) {
-    return !isOver && sentAtMs > saidAtMs;
+  boolean isLiftedByAnswerTo(long sentAtMs) {
+    return !isLifted && sentAtMs > reportedAtMs;
   }
 
-  boolean isOver() {
-    return isOver;
+  boolean isLifted() {
+    return isLifted;
   }
 
   /**
    * Returns when the report arrived from the server at any VM, on the event loop's clock. A report
    * of another VM counts as later than it was by its network delay.
    */
-  long saidAtMs() {
-    return saidAtMs;
+  long reportedAtMs() {
+    return reportedAtMs;
   }
 
   /** Returns the limit as the server reported it. */
-  double named() {
+  double reported() {
     return perSecond;
   }
 
   /** Returns the number of requests per second that all VMs together send. */
   double perSecond() {
-    return Math.max(LEAST_PER_SECOND, perSecond);
+    return Math.max(MIN_PER_SECOND, perSecond);
   }
 
   /**
    * Returns the number of requests, at least one, that all VMs together send within {@link
    * #windowMs}.
    */
-  int inWindow() {
+  int requestsPerWindow() {
     return (int) Math.ceil(perSecond() * WINDOW_MS / MS_PER_SECOND);
   }
 
@@ -110,7 +110,7 @@
    * each window.
    */
   long windowMs() {
-    return Math.round(inWindow() * MS_PER_SECOND / perSecond());
+    return Math.round(requestsPerWindow() * MS_PER_SECOND / perSecond());
   }
 
   /** Notes that this VM sends a request. */
@@ -119,7 +119,7 @@
   }
 
   /** Returns the number of requests that this VM sent within the last {@link #windowMs}. */
-  int sentLately(long nowMs) {
+  int recentSends(long nowMs) {
     while (!sends.isEmpty() && nowMs - sends.peek() >= windowMs()) {
       sends.remove();
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerLimits.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerLimits.java
@@ -21,8 +21,8 @@
 import java.util.List;
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
-import org.landingtrack.internal.loads.LimitNews;
-import org.landingtrack.internal.loads.LoadExchange;
+import org.landingtrack.internal.loads.GossipExchange;
+import org.landingtrack.internal.loads.LimitReport;
 
 /**
  * Keeps the request limits that backend servers reported, by the hash of their incarnation. VMs
@@ -31,23 +31,23 @@
  * of reports matters.
  *
  * <p>Without a known limit nothing is stored or sent. A limit costs about 20 bytes in each message
- * for {@link #TOLD_MS} after each answer that reports it. Used on the event loop only.
+ * for {@link #REPORT_MS} after each answer that reports it. Used on the event loop only.
  */
-public final class ServerLimits implements LoadExchange.Board<LimitNews> {
+public final class ServerLimits implements GossipExchange.ReportHandler<LimitReport> {
   /** How long a report is repeated to other VMs, to make up for lost messages. */
-  static final long TOLD_MS = 2_000;
+  static final long REPORT_MS = 2_000;
 
   /** How long a limit is stored without a new report; the next answer reports it again. */
   static final long FORGET_MS = 600_000;
 
   /** Bound of limits in one message, 1.3 kB; the latest reports come first. */
-  static final int MAX_TOLD = 64;
+  static final int MAX_REPORTED = 64;
 
   /**
    * Maximum number of stored limits; no planned deployment is expected to have more servers with a
    * limit at the same time.
    */
-  static final int MAX_KEPT = 4_096;
+  static final int MAX_LIMITS = 4_096;
 
   private final EventLoop loop;
   private final Map<Long, ServerLimit> limits = new HashMap<>();
@@ -59,33 +59,33 @@
   /** Returns the limit of a server incarnation, or null if it has none. */
   @Nullable ServerLimit find(long server) {
     ServerLimit limit = limits.isEmpty() ? null : limits.get(server);
-    return limit == null || limit.isOver() ? null : limit;
+    return limit == null || limit.isLifted() ? null : limit;
   }
 
   /** Returns the number of servers with a limit. */
   public int count() {
     int count = 0;
     for (ServerLimit limit : limits.values()) {
-      count += limit.isOver() ? 0 : 1;
+      count += limit.isLifted() ? 0 : 1;
     }
     return count;
   }
 
   /** Applies a limit that an answer reported just now; returns true if it is new. */
-  boolean named(long server, double perSecond) {
-    return named(server, perSecond, loop.millis());
+  boolean reported(long server, double perSecond) {
+    return reported(server, perSecond, loop.millis());
   }
 
-  private boolean named(long server, double perSecond, long atMs) {
+  private boolean reported(long server, double perSecond, long atMs) {
     ServerLimit limit = limits.get(server);
     if (limit == null) {
-      if (limits.size() >= MAX_KEPT) {
+      if (limits.size() >= MAX_LIMITS) {
         return false;
       }
       limit = new ServerLimit();
       limits.put(server, limit);
     }
-    return limit.named(perSecond, atMs);
+    return limit.reported(perSecond, atMs);
   }
 
   /**
@@ -93,48 +93,48 @@
    *
    * @param sentAtMs when the request of the answer was sent
    */
-  boolean notNamed(long server, long sentAtMs) {
+  boolean reportedNone(long server, long sentAtMs) {
     ServerLimit limit = find(server);
-    return limit != null && limit.isEndedByAnswerTo(sentAtMs) && limit.ended(loop.millis());
+    return limit != null && limit.isLiftedByAnswerTo(sentAtMs) && limit.lift(loop.millis());
   }
 
   /** Returns the number of requests that this VM recently sent to a server with a limit. */
-  int sentLately(long server) {
+  int recentSends(long server) {
     ServerLimit limit = find(server);
-    return limit == null ? 0 : limit.sentLately(loop.millis());
+    return limit == null ? 0 : limit.recentSends(loop.millis());
   }
 
   @Override
-  public List<LimitNews> news() {
+  public List<LimitReport> reportsToSend() {
     if (limits.isEmpty()) {
       return List.of();
     }
     long now = loop.millis();
-    limits.values().removeIf(limit -> now - limit.saidAtMs() > FORGET_MS);
-    List<LimitNews> reports = new ArrayList<>();
+    limits.values().removeIf(limit -> now - limit.reportedAtMs() > FORGET_MS);
+    List<LimitReport> reports = new ArrayList<>();
     limits.forEach(
         (server, limit) -> {
-          long agoMs = now - limit.saidAtMs();
-          if (agoMs <= TOLD_MS) {
-            double perSecond = limit.isOver() ? LimitNews.NONE : limit.named();
-            reports.add(new LimitNews(server, perSecond, agoMs));
+          long agoMs = now - limit.reportedAtMs();
+          if (agoMs <= REPORT_MS) {
+            double perSecond = limit.isLifted() ? LimitReport.LIFTED : limit.reported();
+            reports.add(new LimitReport(server, perSecond, agoMs));
           }
         });
-    reports.sort(Comparator.comparingLong(LimitNews::agoMs));
-    return reports.size() <= MAX_TOLD ? reports : reports.subList(0, MAX_TOLD);
+    reports.sort(Comparator.comparingLong(LimitReport::agoMs));
+    return reports.size() <= MAX_REPORTED ? reports : reports.subList(0, MAX_REPORTED);
   }
 
   @Override
-  public void heard(List<LimitNews> news) {
-    for (LimitNews report : news) {
+  public void receiveReports(List<LimitReport> news) {
+    for (LimitReport report : news) {
       long atMs = loop.millis() - report.agoMs();
-      if (!report.isOver()) {
-        named(report.server(), report.perSecond(), atMs);
+      if (!report.isLifted()) {
+        reported(report.server(), report.perSecond(), atMs);
         continue;
       }
       ServerLimit limit = limits.get(report.server());
       if (limit != null) {
-        limit.ended(atMs);
+        limit.lift(atMs);
       }
     }
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerNotice.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerNotice.java
@@ -21,16 +21,16 @@
  * Status that a backend server reports of itself in an answer.
  *
  * @param limitPerSecond requests per second that it accepts from all VMs together, if reported
- * @param endsLimit true if the server ran the request and reports no limit: it has none any more
+ * @param liftsLimit true if the server ran the request and reports no limit: it has none any more
  * @param leaving true if it is about to end
- * @param restMs the backoff that it asks of this VM, in milliseconds; 0 if it asks for none
+ * @param backoffMs the backoff that it asks of this VM, in milliseconds; 0 if it asks for none
  * @param unreadable true if a field of the notice cannot be parsed; that field is ignored
  */
 public record ServerNotice(
     OptionalDouble limitPerSecond,
-    boolean endsLimit,
+    boolean liftsLimit,
     boolean leaving,
-    long restMs,
+    long backoffMs,
     boolean unreadable) {
   /** Creates a notice of which every field was parsed. */
   public ServerNotice(
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerNotices.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerNotices.java
@@ -20,13 +20,13 @@
   private final EventLoop loop;
   private final DecisionLog log;
   private final ServerLimits limits;
-  private final ServerRests rests;
+  private final SharedBackoffs backoffs;
 
-  ServerNotices(EventLoop loop, DecisionLog log, ServerLimits limits, ServerRests rests) {
+  ServerNotices(EventLoop loop, DecisionLog log, ServerLimits limits, SharedBackoffs rests) {
     this.loop = loop;
     this.log = log;
     this.limits = limits;
-    this.rests = rests;
+    this.backoffs = rests;
   }
 
   /**
@@ -34,33 +34,33 @@
    *
    * @param sentAtMs when the request was sent whose answer has the notice
    */
-  void heard(Backend backend, ServerNotice notice, long sentAtMs) {
+  void apply(Backend backend, ServerNotice notice, long sentAtMs) {
     long now = loop.millis();
-    if (notice.leaving() && backend.saysLeaving(now)) {
-      tell(backend, "leaving", 0, 0);
+    if (notice.leaving() && backend.markLeaving(now)) {
+      logChange(backend, "leaving", 0, 0);
     }
-    if (notice.unreadable() && backend.saysUnreadable()) {
-      log.noticed(backend.entry(), "what cannot be read", 0, 0);
+    if (notice.unreadable() && backend.markUnreadable()) {
+      log.serverStated(backend.entry(), "what cannot be read", 0, 0);
     }
-    if (notice.restMs() > 0) {
-      rests.asked(backend.startHash(), notice.restMs());
+    if (notice.backoffMs() > 0) {
+      backoffs.requested(backend.incarnationHash(), notice.backoffMs());
     }
-    if (notice.restMs() > 0 && backend.rest().asked(notice.restMs(), now)) {
-      tell(backend, "resting", 0, notice.restMs());
+    if (notice.backoffMs() > 0 && backend.backoff().request(notice.backoffMs(), now)) {
+      logChange(backend, "resting", 0, notice.backoffMs());
     }
-    long server = backend.startHash();
+    long server = backend.incarnationHash();
     if (notice.limitPerSecond().isPresent()) {
       double perSecond = notice.limitPerSecond().getAsDouble();
-      if (limits.named(server, perSecond)) {
-        tell(backend, "limited", perSecond, 0);
+      if (limits.reported(server, perSecond)) {
+        logChange(backend, "limited", perSecond, 0);
       }
-    } else if (notice.endsLimit() && limits.notNamed(server, sentAtMs)) {
-      tell(backend, "limit ended", 0, 0);
+    } else if (notice.liftsLimit() && limits.reportedNone(server, sentAtMs)) {
+      logChange(backend, "limit ended", 0, 0);
     }
   }
 
-  private void tell(Backend backend, String change, double limitPerSecond, long restMs) {
-    backend.noticed();
-    log.noticed(backend.entry(), change, limitPerSecond, restMs);
+  private void logChange(Backend backend, String change, double limitPerSecond, long restMs) {
+    backend.countNotice();
+    log.serverStated(backend.entry(), change, limitPerSecond, restMs);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerBook.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerRegistry.java
@@ -29,8 +29,8 @@
 import java.util.function.ToLongFunction;
 import org.jspecify.annotations.Nullable;
 import org.landingtrack.internal.base.Hashes;
-import org.landingtrack.internal.health.SharedHealth.ServiceStarts;
-import org.landingtrack.internal.loads.LoadNews.Load;
+import org.landingtrack.internal.health.SharedHealth.ServiceIncarnations;
+import org.landingtrack.internal.loads.GossipMessage.Load;
 
 /**
  * Keeps the backend servers that this VM knows from their entries in the platform's store.
@@ -47,27 +47,27 @@
  * over no observed state of the earlier one, and late reports about the earlier incarnation are
  * ignored. Applying one entry takes constant time. Not thread-safe; used on the event loop only.
  */
-public final class ServerBook {
+public final class ServerRegistry {
   /**
    * How long a server is remembered after it announced that it leaves. It may keep serving long
    * after its entry disappeared, and an older copy of the store or a delayed list still shows it as
    * ready.
    */
-  private static final long LEFT_MS = 600_000;
+  private static final long LEAVING_MEMORY_MS = 600_000;
 
   private final EventLoop loop;
   private final DecisionLog log;
   private final long lastResortMs;
-  private final StoreTrouble trouble;
+  private final StoreOutages outages;
   private final Map<String, Backend> backends = new HashMap<>();
   private final Map<String, Map<String, Backend>> byService = new HashMap<>();
   private final Map<String, Backend> byAddress = new HashMap<>();
-  private Consumer<Backend> startEnded = ended -> {};
-  private Consumer<Backend> goneUnannounced = gone -> {};
-  private LongPredicate restsElsewhere = start -> false;
-  private LongPredicate ejectedByAll = start -> false;
+  private Consumer<Backend> incarnationEndedListener = ended -> {};
+  private Consumer<Backend> unannouncedRemovalListener = gone -> {};
+  private LongPredicate backsOffElsewhere = start -> false;
+  private LongPredicate ejectedByFleet = start -> false;
   private ToLongFunction<String> coldStartMs = service -> 0;
-  private boolean known;
+  private boolean isLoaded;
 
   /**
    * Creates an empty registry.
@@ -75,56 +75,56 @@
    * @param lastResortMs how long a leaving server may still get requests
    * @param expiryGraceMs how long after the store's recovery a missing entry may still come back
    */
-  public ServerBook(EventLoop loop, DecisionLog log, long lastResortMs, long expiryGraceMs) {
+  public ServerRegistry(EventLoop loop, DecisionLog log, long lastResortMs, long expiryGraceMs) {
     this.loop = loop;
     this.log = log;
     this.lastResortMs = lastResortMs;
-    this.trouble = new StoreTrouble(loop, expiryGraceMs);
+    this.outages = new StoreOutages(loop, expiryGraceMs);
   }
 
   /** Sets the listener for incarnations that ended because a later one became known. */
-  void onStartEnded(Consumer<Backend> listener) {
-    startEnded = listener;
+  void onIncarnationEnded(Consumer<Backend> listener) {
+    incarnationEndedListener = listener;
   }
 
   /** Sets the listener for servers whose entry disappeared without an announcement. */
-  void onGoneUnannounced(Consumer<Backend> listener) {
-    goneUnannounced = listener;
+  void onUnannouncedRemoval(Consumer<Backend> listener) {
+    unannouncedRemovalListener = listener;
   }
 
   /** Sets the test for whether the incarnation with a given hash asked other VMs to back off. */
-  void restsElsewhere(LongPredicate test) {
-    restsElsewhere = test;
+  void backsOffElsewhere(LongPredicate test) {
+    backsOffElsewhere = test;
   }
 
   /**
    * Sets the test for whether the incarnation with a given hash is ejected by the shared health
    * data.
    */
-  void ejectedByAll(LongPredicate test) {
-    ejectedByAll = test;
+  void ejectedByFleet(LongPredicate test) {
+    ejectedByFleet = test;
   }
 
   /** Returns the services with the hashes of their server incarnations that are not gone. */
-  List<ServiceStarts> startsByService() {
-    List<ServiceStarts> services = new ArrayList<>();
+  List<ServiceIncarnations> incarnationsByService() {
+    List<ServiceIncarnations> services = new ArrayList<>();
     byService.forEach(
         (service, servers) -> {
           List<Long> starts = new ArrayList<>();
           for (Backend backend : servers.values()) {
             if (!backend.isRemoved() && !backend.isReplaced()) {
-              starts.add(backend.startHash());
+              starts.add(backend.incarnationHash());
             }
           }
-          services.add(new ServiceStarts(Hashes.placement(service), starts));
+          services.add(new ServiceIncarnations(Hashes.placement(service), starts));
         });
     return services;
   }
 
   /** Returns the entry of an incarnation by its hash, or null if it is not known. */
-  @Nullable ServerEntry entryOfStart(long startHash) {
+  @Nullable ServerEntry entryOfIncarnation(long startHash) {
     for (Backend backend : backends.values()) {
-      if (backend.startHash() == startHash) {
+      if (backend.incarnationHash() == startHash) {
         return backend.entry();
       }
     }
@@ -132,20 +132,20 @@
   }
 
   /** Sets the function that returns how long the servers of a service stay cold after a start. */
-  void coldAfterStart(ToLongFunction<String> ms) {
+  void setColdStartDuration(ToLongFunction<String> ms) {
     coldStartMs = ms;
   }
 
   /** Marks all servers of a data centre as possibly cold from now on. */
-  void turnedCold(String dataCentre) {
+  void markDataCentreCold(String dataCentre) {
     for (Backend backend : backends.values()) {
       if (backend.entry().dataCentre().equals(dataCentre)) {
-        mayBeCold(backend);
+        applyColdStart(backend);
       }
     }
   }
 
-  private void mayBeCold(Backend backend) {
+  private void applyColdStart(Backend backend) {
     long startMs = coldStartMs.applyAsLong(backend.entry().service());
     if (startMs > 0) {
       backend.coldUntil(loop.millis() + startMs);
@@ -156,7 +156,7 @@
    * Counts the reported cold time from now. The report is older, so the server is treated as cold
    * for slightly too long rather than too short.
    */
-  private void noteCold(Backend backend) {
+  private void applyReportedCold(Backend backend) {
     if (backend.entry().coldMs() > 0) {
       backend.coldUntil(loop.millis() + backend.entry().coldMs());
     }
@@ -173,16 +173,16 @@
   }
 
   /** Returns true once the list of servers was read. */
-  public boolean known() {
-    return known;
+  public boolean isLoaded() {
+    return isLoaded;
   }
 
   /**
    * Notes that the store answers again after an outage. Call this after {@link #replaceAll} applied
    * the store's current content.
    */
-  public void storeReturned() {
-    trouble.returned();
+  public void onStoreRecovered() {
+    outages.onRecovered();
   }
 
   /**
@@ -190,16 +190,16 @@
    * its current content. Such a copy does not bring a removed server back: without this rule, a
    * server that had left long ago got requests again.
    */
-  public void storeRewound() {
-    trouble.rewound();
+  public void onStoreRolledBack() {
+    outages.onRolledBack();
   }
 
-  private boolean isGoneForGood(String id) {
+  private boolean isPermanentlyRemoved(String id) {
     Backend backend = backends.get(id);
     return backend != null
         && backend.isRemoved()
-        && trouble.mayBeOlder()
-        && !mayHaveLapsed(backend);
+        && outages.mayBeStale()
+        && !mayHaveExpired(backend);
   }
 
   /**
@@ -208,16 +208,16 @@
    * last-resort requests.
    */
   public void replaceAll(Collection<ServerEntry> entries, long revision) {
-    known = true;
+    isLoaded = true;
     long listedAtMs = loop.millis();
-    trouble.listed();
+    outages.listed();
     Set<String> listed = new HashSet<>();
     for (ServerEntry entry : entries) {
       listed.add(entry.id());
-      if (isGoneForGood(entry.id())) {
+      if (isPermanentlyRemoved(entry.id())) {
         continue;
       }
-      take(entry, revision, listedAtMs - lastResortMs, true);
+      applyEntry(entry, revision, listedAtMs - lastResortMs, true);
     }
     for (String id : List.copyOf(backends.keySet())) {
       if (!listed.contains(id)) {
@@ -233,49 +233,49 @@
 
   /** Applies a new or changed entry; {@code sinceMs} is the earliest time of the change. */
   public void put(ServerEntry entry, long revision, long sinceMs) {
-    take(entry, revision, sinceMs, false);
+    applyEntry(entry, revision, sinceMs, false);
   }
 
-  private void take(ServerEntry entry, long revision, long sinceMs, boolean isListed) {
+  private void applyEntry(ServerEntry entry, long revision, long sinceMs, boolean isListed) {
     Backend backend = backends.get(entry.id());
     if (backend == null) {
       Backend joined = new Backend(entry, sinceMs);
       Backend sameAddress = byAddress.get(entry.address());
-      keep(joined);
-      joined.listedAt(revision);
+      addToIndexes(joined);
+      joined.setListedRevision(revision);
       if (!isListed) {
-        endAtAddress(sameAddress, joined, revision);
+        endEarlierAtAddress(sameAddress, joined, revision);
       }
-      noteCold(joined);
-      log.server("joined", entry, revision);
+      applyReportedCold(joined);
+      log.serverChanged("joined", entry, revision);
       return;
     }
     ServerEntry before = backend.entry();
-    if (before.isLaterStartThan(entry)) {
+    if (before.isLaterIncarnationThan(entry)) {
       return;
     }
-    if (entry.isLaterStartThan(before)) {
-      Backend next = backend.startedAgain(entry, sinceMs);
+    if (entry.isLaterIncarnationThan(before)) {
+      Backend next = backend.restarted(entry, sinceMs);
       replace(backend, next);
-      noteCold(next);
-      log.server("started again", entry, revision);
+      applyReportedCold(next);
+      log.serverChanged("started again", entry, revision);
       return;
     }
-    backend.listedAt(revision);
+    backend.setListedRevision(revision);
     boolean wasRemoved = backend.isRemoved();
     if (!before.weightVersions().equals(entry.weightVersions())) {
-      backend.forgetParts();
+      backend.clearCachedParts();
     }
     backend.update(entry, sinceMs);
-    noteCold(backend);
+    applyReportedCold(backend);
     if (!before.service().equals(entry.service())) {
-      drop(before);
-      keep(backend);
+      removeFromIndexes(before);
+      addToIndexes(backend);
     }
     if (wasRemoved) {
-      log.server("back", entry, revision);
+      log.serverChanged("back", entry, revision);
     } else if (!before.equals(entry)) {
-      log.server(entry.leaving() ? "leaving" : "changed", entry, revision);
+      log.serverChanged(entry.leaving() ? "leaving" : "changed", entry, revision);
     }
   }
 
@@ -285,50 +285,50 @@
    * heartbeats. A list does not say which entry is later, and an older copy of the store may
    * contain entries of servers that are long gone, so neither proves anything.
    */
-  private void endAtAddress(@Nullable Backend earlier, Backend joined, long revision) {
+  private void endEarlierAtAddress(@Nullable Backend earlier, Backend joined, long revision) {
     if (earlier == null || earlier == joined || earlier.isReplaced()) {
       return;
     }
-    if (trouble.mayBeOlder() || earlier.listedRevision() >= revision) {
+    if (outages.mayBeStale() || earlier.listedRevision() >= revision) {
       return;
     }
-    earlier.replacedByAnother();
+    earlier.markReplaced();
     log.ejected(earlier.entry().id(), "a later server has its address");
-    startEnded.accept(earlier);
+    incarnationEndedListener.accept(earlier);
   }
 
   /**
    * Notes an incarnation that a server reported before its entry did. This does not bring back a
    * removed server; only its next entry does.
    */
-  public void startSeen(String id, long startedMs) {
+  public void onIncarnationReported(String id, long startedMs) {
     Backend backend = backends.get(id);
     if (backend == null || backend.isRemoved()) {
       return;
     }
-    ServerEntry next = backend.entry().startedAt(startedMs);
-    if (next.isLaterStartThan(backend.entry())) {
-      Backend restarted = backend.startedAgain(next, loop.millis());
+    ServerEntry next = backend.entry().withStartedMs(startedMs);
+    if (next.isLaterIncarnationThan(backend.entry())) {
+      Backend restarted = backend.restarted(next, loop.millis());
       replace(backend, restarted);
-      mayBeCold(restarted);
-      log.server("started again", next, 0);
+      applyColdStart(restarted);
+      log.serverChanged("started again", next, 0);
     }
   }
 
   private void replace(Backend before, Backend next) {
-    drop(before.entry());
-    keep(next);
-    startEnded.accept(before);
+    removeFromIndexes(before.entry());
+    addToIndexes(next);
+    incarnationEndedListener.accept(before);
   }
 
-  private void keep(Backend backend) {
+  private void addToIndexes(Backend backend) {
     ServerEntry entry = backend.entry();
     backends.put(entry.id(), backend);
     byService.computeIfAbsent(entry.service(), name -> new HashMap<>()).put(entry.id(), backend);
     byAddress.put(entry.address(), backend);
   }
 
-  private void drop(ServerEntry entry) {
+  private void removeFromIndexes(ServerEntry entry) {
     Backend dropped = backends.remove(entry.id());
     if (dropped != null) {
       byAddress.remove(entry.address(), dropped);
@@ -350,21 +350,21 @@
     if (backend == null || backend.isRemoved()) {
       return;
     }
-    backend.removed(sinceMs, loop.millis());
-    log.server("gone", backend.entry(), revision);
+    backend.markRemoved(sinceMs, loop.millis());
+    log.serverChanged("gone", backend.entry(), revision);
     if (!backend.isLeaving()) {
-      goneUnannounced.accept(backend);
+      unannouncedRemovalListener.accept(backend);
     }
   }
 
   /** Forgets servers that were removed more than {@code afterMs} ago; returns their ids. */
-  public List<String> forgetGone(long afterMs) {
+  public List<String> evictRemoved(long afterMs) {
     List<String> forgotten = new ArrayList<>();
     for (Backend backend : List.copyOf(backends.values())) {
-      long keepMs = backend.hasSaidLeaving() ? Math.max(afterMs, LEFT_MS) : afterMs;
+      long keepMs = backend.hasReportedLeaving() ? Math.max(afterMs, LEAVING_MEMORY_MS) : afterMs;
       if (backend.isRemoved() && backend.leavingForMs(loop.millis()) > keepMs) {
         forgotten.add(backend.entry().id());
-        drop(backend.entry());
+        removeFromIndexes(backend.entry());
       }
     }
     return forgotten;
@@ -389,16 +389,16 @@
   public List<Load> ownLoads(LongToIntFunction limitedSends) {
     List<Load> loads = new ArrayList<>();
     for (Backend backend : backends.values()) {
-      int sends = limitedSends.applyAsInt(backend.startHash());
+      int sends = limitedSends.applyAsInt(backend.incarnationHash());
       if (backend.inFlight() > 0 || sends > 0) {
-        long movingMs = (long) backend.backlog().ms(loop.millis());
+        long movingMs = (long) backend.linkBacklog().busyMs(loop.millis());
         loads.add(
             new Load(
-                backend.startHash(),
+                backend.incarnationHash(),
                 backend.pendingTokens(),
                 backend.inFlight(),
                 movingMs,
-                backend.heldTokens(),
+                backend.memoryTokensInUse(),
                 sends));
       }
     }
@@ -425,24 +425,24 @@
         continue;
       }
       long leavingFor = backend.leavingForMs(now);
-      boolean leaves = leavingFor >= 0 && !mayHaveLapsed(backend);
+      boolean leaves = leavingFor >= 0 && !mayHaveExpired(backend);
       if ((leaves && leavingFor >= lastResortMs) || !eligible.test(backend)) {
         continue;
       }
       boolean isFallback =
           leaves
               || backend.isEjected(now)
-              || isEjectedByAll(backend)
-              || restsElsewhere.test(backend.startHash())
-              || backend.rest().isLeftToOthers(now, isOnlySend || backend.inFlight() > 0);
+              || isEjectedByFleet(backend)
+              || backsOffElsewhere.test(backend.incarnationHash())
+              || backend.backoff().isTrialLeftToOthers(now, isOnlySend || backend.inFlight() > 0);
       (isFallback ? fallback : healthy).add(backend);
     }
     return healthy.isEmpty() ? fallback : healthy;
   }
 
   /** Returns true if a server is ejected by the shared health data of all VMs. */
-  boolean isEjectedByAll(Backend backend) {
-    return ejectedByAll.test(backend.startHash());
+  boolean isEjectedByFleet(Backend backend) {
+    return ejectedByFleet.test(backend.incarnationHash());
   }
 
   /**
@@ -453,16 +453,16 @@
     List<Backend> ejected = new ArrayList<>();
     for (Backend backend : byService.getOrDefault(service, Map.of()).values()) {
       boolean stays = !backend.isReplaced() && backend.leavingForMs(loop.millis()) < 0;
-      if (stays && isEjectedByAll(backend) && eligible.test(backend)) {
+      if (stays && isEjectedByFleet(backend) && eligible.test(backend)) {
         ejected.add(backend);
       }
     }
     return ejected;
   }
 
-  private boolean mayHaveLapsed(Backend backend) {
+  private boolean mayHaveExpired(Backend backend) {
     return backend.isRemoved()
         && !backend.isLeaving()
-        && trouble.mayHaveLapsed(backend.heardGoneAtMs());
+        && outages.mayHaveExpired(backend.removalSeenAtMs());
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServiceInfo.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServiceInfo.java
@@ -23,8 +23,8 @@
  * @param healthPath the path of its servers' health checks
  * @param connectionLimit the connections that one of its servers accepts from all callers together
  * @param engine the properties of its servers if they are model engines, otherwise null
- * @param coldPerSecond the requests per second that one of its servers can handle while it is cold;
- *     0 if they are never cold
+ * @param coldRequestsPerSecond the requests per second that one of its servers can handle while it
+ *     is cold; 0 if they are never cold
  * @param coldStartMs how long a server stays cold after a start
  */
 public record ServiceInfo(
@@ -32,7 +32,7 @@
     String healthPath,
     int connectionLimit,
     @Nullable EngineInfo engine,
-    double coldPerSecond,
+    double coldRequestsPerSecond,
     long coldStartMs) {
 
   /** Creates a service whose servers are never cold. */
@@ -45,11 +45,11 @@
    * Properties that all engines of a service share.
    *
    * @param slots the requests that an engine runs concurrently
-   * @param cacheTokens the size of the KV cache in tokens, for running requests and cached prefixes
-   *     together
-   * @param tokenBytes the bytes that one token takes in the KV cache
+   * @param kvCacheTokens the size of the KV cache in tokens, for running requests and cached
+   *     prefixes together
+   * @param kvBytesPerToken the bytes that one token takes in the KV cache
    * @param linkMbps the bandwidth of an engine's link for KV cache transfers, in megabits per
    *     second
    */
-  public record EngineInfo(int slots, int cacheTokens, double tokenBytes, double linkMbps) {}
+  public record EngineInfo(int slots, int kvCacheTokens, double kvBytesPerToken, double linkMbps) {}
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServiceRetries.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServiceRetryLimiter.java
@@ -16,16 +16,16 @@
 package org.landingtrack.internal.serving;
 
 import org.landingtrack.internal.dispatch.RetryBudget;
-import org.landingtrack.internal.retry.FleetRetries;
+import org.landingtrack.internal.retry.FleetRetryBudget;
 
 /** The retry budget of one service at this VM. Used on the event loop only. */
-interface ServiceRetries {
+interface ServiceRetryLimiter {
   /**
    * Records a first attempt, which adds to the budget.
    *
    * @param percent retries for each 100 requests
    */
-  void request(double percent);
+  void recordRequest(double percent);
 
   /** Takes one retry from the budget; returns false if it is used up. */
   boolean tryRetry();
@@ -34,31 +34,31 @@
   boolean hasRetry();
 
   /** Returns a budget of this VM alone. */
-  static ServiceRetries own(RetryBudget budget) {
-    return new ServiceRetries() {
+  static ServiceRetryLimiter local(RetryBudget budget) {
+    return new ServiceRetryLimiter() {
       @Override
-      public void request(double percent) {
-        budget.request(percent);
+      public void recordRequest(double percent) {
+        budget.recordRequest(percent);
       }
 
       @Override
       public boolean tryRetry() {
-        return budget.tryRetry();
+        return budget.tryAcquire();
       }
 
       @Override
       public boolean hasRetry() {
-        return budget.hasSaved();
+        return budget.hasRetry();
       }
     };
   }
 
   /** Returns a budget that all VMs share; its own terms replace the percentage. */
-  static ServiceRetries shared(FleetRetries retries, String service) {
-    return new ServiceRetries() {
+  static ServiceRetryLimiter shared(FleetRetryBudget retries, String service) {
+    return new ServiceRetryLimiter() {
       @Override
-      public void request(double percent) {
-        retries.request(service);
+      public void recordRequest(double percent) {
+        retries.recordRequest(service);
       }
 
       @Override
