--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Serving.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Serving.java
@@ -21,11 +21,11 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 import org.landingtrack.internal.loads.TallyTopic;
-import org.landingtrack.internal.overload.Verdict;
+import org.landingtrack.internal.overload.AdmissionDecision;
 import org.landingtrack.internal.quarantine.Quarantine.Change;
 import org.landingtrack.internal.quarantine.Quarantine.Suspicion;
-import org.landingtrack.internal.retry.FleetRetries;
-import org.landingtrack.internal.retry.RetryTerms;
+import org.landingtrack.internal.retry.FleetRetryBudget;
+import org.landingtrack.internal.retry.RetryBudgetPolicy;
 
 /**
  * Serves the requests of callers: starts a {@link RequestRun} for each, keeps those in flight, and
@@ -38,16 +38,16 @@
   private final DecisionLog log;
   private final ServingOptions options;
   private final Set<RequestRun> running = new HashSet<>();
-  private final WaitingRuns waiting;
-  private final AdmissionGate admission;
-  private final ServerEnds ends;
+  private final RequestQueue waiting;
+  private final AdmissionControl admission;
+  private final CrashDetector ends;
   private final ServerNotices notices;
   private final ColdServers cold;
   private final LimitedServers limited;
-  private final EndedStarts endedStarts;
+  private final EndedIncarnations endedStarts;
   private final Eligibility eligibility;
   private final BackendHealth health;
-  private final @Nullable FleetRetries fleetRetries;
+  private final @Nullable FleetRetryBudget fleetRetries;
 
   public Serving(
       EventLoop loop,
@@ -60,49 +60,55 @@
     this.transport = transport;
     this.log = log;
     this.options = options;
-    this.waiting = new WaitingRuns(loop);
+    this.waiting = new RequestQueue(loop);
     this.admission =
-        new AdmissionGate(
-            loop, state, waiting, log, options.salt(), options.uses(Mechanism.FLEET_ADMISSION));
+        new AdmissionControl(
+            loop,
+            state,
+            waiting,
+            log,
+            options.salt(),
+            options.isEnabled(Mechanism.FLEET_ADMISSION));
     this.cold =
         new ColdServers(
             loop,
-            state.peerLoads()::vmsAtMost,
+            state.peerLoads()::maxVms,
             options.coldOvershoot(),
             options.coldTolerance(),
             options.salt());
-    this.limited = new LimitedServers(loop, state.limits(), state.peerLoads(), options.salt());
-    this.endedStarts = new EndedStarts(loop, state);
+    this.limited =
+        new LimitedServers(loop, state.serverLimits(), state.peerLoads(), options.salt());
+    this.endedStarts = new EndedIncarnations(loop, state);
     this.eligibility =
         new Eligibility(
             loop,
             state.evacuations(),
             cold,
             limited,
-            options.uses(Mechanism.SHARED_HEALTH) ? endedStarts::isEnded : start -> false,
+            options.isEnabled(Mechanism.SHARED_HEALTH) ? endedStarts::isEnded : start -> false,
             options.regions());
     this.fleetRetries = fleetRetries(options);
     this.health = new BackendHealth(loop, state, log, options);
-    this.notices = new ServerNotices(loop, log, state.limits(), state.rests());
-    this.ends = new ServerEnds(state.quarantine(), loop, transport);
-    state.servers().onStartEnded(this::startEnded);
-    state.servers().onGoneUnannounced(ends::ended);
-    state.quarantine().onChange(this::suspicionChanged);
+    this.notices = new ServerNotices(loop, log, state.serverLimits(), state.backoffs());
+    this.ends = new CrashDetector(state.quarantine(), loop, transport);
+    state.servers().onIncarnationEnded(this::onInstanceReplaced);
+    state.servers().onUnannouncedRemoval(ends::onServerEnded);
+    state.quarantine().addListener(this::onSuspicionChanged);
   }
 
-  private @Nullable FleetRetries fleetRetries(ServingOptions options) {
-    RetryTerms terms = options.retryTerms();
-    if (terms == null || !options.uses(Mechanism.FLEET_RETRIES)) {
+  private @Nullable FleetRetryBudget fleetRetries(ServingOptions options) {
+    RetryBudgetPolicy terms = options.retryTerms();
+    if (terms == null || !options.isEnabled(Mechanism.FLEET_RETRIES)) {
       return null;
     }
-    FleetRetries shared =
-        new FleetRetries(
+    FleetRetryBudget shared =
+        new FleetRetryBudget(
             loop,
             terms,
-            state.peerLoads()::vmsAtMost,
+            state.peerLoads()::maxVms,
             options.salt(),
-            own -> state.tally(TallyTopic.RETRIES, own));
-    state.shareRetries(shared);
+            own -> state.registerTallies(TallyTopic.RETRIES, own));
+    state.useFleetRetries(shared);
     return shared;
   }
 
@@ -110,11 +116,11 @@
    * Fails the requests in flight at a server incarnation that has been replaced, as after a crash.
    * Its connections may stay open and silent, and then requests would wait until their deadlines.
    */
-  private void startEnded(Backend replaced) {
-    transport.forget(replaced.entry().id());
-    ends.ended(replaced);
+  private void onInstanceReplaced(Backend replaced) {
+    transport.dropConnections(replaced.entry().id());
+    ends.onServerEnded(replaced);
     for (RequestRun run : List.copyOf(running)) {
-      run.serverStartedAgain(replaced);
+      run.serverRestarted(replaced);
     }
   }
 
@@ -122,14 +128,18 @@
    * Cancels the attempts of a request that was quarantined at servers that have not started it:
    * several VMs may have sent the request at the same time.
    */
-  private void suspicionChanged(Suspicion suspicion) {
-    log.suspected(suspicion);
+  private void onSuspicionChanged(Suspicion suspicion) {
+    log.suspicionChanged(suspicion);
     if (suspicion.change() == Change.QUARANTINED) {
-      loop.execute(() -> List.copyOf(running).forEach(run -> run.quarantined(suspicion.digest())));
+      loop.execute(
+          () -> List.copyOf(running).forEach(run -> run.onQuarantined(suspicion.digest())));
     }
   }
 
-  /** Starts to serve a request; call {@link RequestRun#callerGone} if the caller disconnects. */
+  /**
+   * Starts to serve a request; call {@link RequestRun#callerDisconnected} if the caller
+   * disconnects.
+   */
   public RequestRun serve(CallerRequest request, CallerSink sink) {
     RequestRun run = new RequestRun(this, request, sink);
     running.add(run);
@@ -138,7 +148,7 @@
   }
 
   /** Removes a request that is over. */
-  void ended(RequestRun run) {
+  void remove(RequestRun run) {
     running.remove(run);
     waiting.remove(run);
   }
@@ -152,7 +162,7 @@
   public void abortAll(String why) {
     List<RequestRun> runs = new ArrayList<>(running);
     for (RequestRun run : runs) {
-      run.giveUp(why);
+      run.abort(why);
     }
   }
 
@@ -168,15 +178,15 @@
 
   /** Returns the least share of requests that any service admits, 0 to 1; 1 without a shortage. */
   public double admissionLevel() {
-    return admission.admission().leastPart();
+    return admission.admission().leastAdmittedShare();
   }
 
   /** Returns how many requests were refused on arrival for a cause. */
-  public long refusedAtOnce(Verdict.Cause cause) {
-    return admission.admission().refused(cause);
+  public long refusedOnArrival(AdmissionDecision.Cause cause) {
+    return admission.admission().refusals(cause);
   }
 
-  AdmissionGate admission() {
+  AdmissionControl admission() {
     return admission;
   }
 
@@ -186,12 +196,12 @@
   }
 
   /** Returns the number of servers that are ejected by the outcomes of all VMs. */
-  public int ejectedByAll() {
+  public int fleetEjectedCount() {
     return health.ejectedCount();
   }
 
   /** Returns how many requests this VM sent to ejected servers as probes. */
-  public long probes() {
+  public long probeCount() {
     return health.probes();
   }
 
@@ -211,11 +221,11 @@
     return eligibility;
   }
 
-  EndedStarts endedStarts() {
+  EndedIncarnations endedStarts() {
     return endedStarts;
   }
 
-  ServerEnds ends() {
+  CrashDetector ends() {
     return ends;
   }
 
@@ -223,7 +233,7 @@
     return notices;
   }
 
-  WaitingRuns waiting() {
+  RequestQueue waiting() {
     return waiting;
   }
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServingConfig.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServingConfig.java
@@ -26,12 +26,12 @@
 /** A version of the operators' configuration, indexed for look-ups. Immutable and thread-safe. */
 public final class ServingConfig {
   private final long version;
-  private final int mostUrgent;
+  private final int mostUrgentPriority;
   private final Map<String, List<Route>> routesByHost = new HashMap<>();
   private final Map<String, ServiceInfo> services;
   private final Map<String, Team> teamsByKey;
-  private final Map<String, Long> leastTargetMs = new HashMap<>();
-  private final CallerLimits limits;
+  private final Map<String, Long> minTargetLatencyMs = new HashMap<>();
+  private final CallerLimits callerLimits;
   private final List<PartStore.StoreInfo> partStores;
 
   /**
@@ -48,18 +48,18 @@
       CallerLimits limits,
       List<PartStore.StoreInfo> partStores) {
     this.version = version;
-    this.mostUrgent = routes.stream().mapToInt(Route::priority).min().orElse(0);
+    this.mostUrgentPriority = routes.stream().mapToInt(Route::priority).min().orElse(0);
     for (Route route : routes) {
       routesByHost.computeIfAbsent(route.host(), host -> new ArrayList<>()).add(route);
       for (Route.Target target : route.targets()) {
-        leastTargetMs.merge(target.service(), route.targetLatencyMs(), Math::min);
+        minTargetLatencyMs.merge(target.service(), route.targetLatencyMs(), Math::min);
       }
     }
     Comparator<Route> longestFirst = Comparator.comparingInt(route -> -route.pathPrefix().length());
     routesByHost.values().forEach(list -> list.sort(longestFirst));
     this.services = Map.copyOf(services);
     this.teamsByKey = Map.copyOf(teamsByKey);
-    this.limits = limits;
+    this.callerLimits = limits;
     this.partStores = List.copyOf(partStores);
   }
 
@@ -71,8 +71,8 @@
   /**
    * Returns the priority of the most urgent routes: the lowest number, 0 if there are no routes.
    */
-  public int mostUrgent() {
-    return mostUrgent;
+  public int mostUrgentPriority() {
+    return mostUrgentPriority;
   }
 
   /** Returns the route with the longest path prefix that matches, if any. */
@@ -96,8 +96,8 @@
   }
 
   /** Returns the shortest target latency among a service's routes in milliseconds; 0 if none. */
-  long leastTargetMs(String service) {
-    return leastTargetMs.getOrDefault(service, 0L);
+  long minTargetLatencyMs(String service) {
+    return minTargetLatencyMs.getOrDefault(service, 0L);
   }
 
   /** Returns the team that an API key belongs to. */
@@ -111,12 +111,12 @@
   }
 
   /** Returns true if callers need an API key, except on open routes. */
-  public boolean needsKeys() {
+  public boolean requiresApiKeys() {
     return !teamsByKey.isEmpty();
   }
 
   /** Returns the limits for requests and connections of callers. */
-  public CallerLimits limits() {
-    return limits;
+  public CallerLimits callerLimits() {
+    return callerLimits;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServingOptions.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServingOptions.java
@@ -18,15 +18,15 @@
 import java.util.Map;
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
-import org.landingtrack.internal.retry.RetryTerms;
+import org.landingtrack.internal.retry.RetryBudgetPolicy;
 
 /**
  * Options for serving requests on this VM. Immutable.
  *
  * @param dataCentre the data centre of this VM
  * @param retryPercent the retries allowed to a service for each hundred requests
- * @param oldWeightsMs the time after new weights were published, in milliseconds, in which servers
- *     with older ones may still be used
+ * @param oldWeightsGraceMs the time after new weights were published, in milliseconds, in which
+ *     servers with older ones may still be used
  * @param regions the region of each data centre
  * @param coldOvershoot the factor by which a cold server may exceed its configured rate within a
  *     single second
@@ -34,21 +34,21 @@
  * @param salt a random seed that differs between VMs and between starts of a VM
  * @param retryTerms the terms of the retry budget that all VMs share, or null if each VM has its
  *     own
- * @param off the mechanisms that operators switched off
+ * @param disabledMechanisms the mechanisms that operators switched off
  */
 public record ServingOptions(
     String dataCentre,
     double retryPercent,
-    long oldWeightsMs,
+    long oldWeightsGraceMs,
     Map<String, String> regions,
     double coldOvershoot,
     double coldTolerance,
     long salt,
-    @Nullable RetryTerms retryTerms,
-    Set<Mechanism> off) {
+    @Nullable RetryBudgetPolicy retryTerms,
+    Set<Mechanism> disabledMechanisms) {
   public ServingOptions {
     regions = Map.copyOf(regions);
-    off = Set.copyOf(off);
+    disabledMechanisms = Set.copyOf(disabledMechanisms);
   }
 
   /** Creates options with all mechanisms on and a retry budget per VM. */
@@ -78,7 +78,7 @@
   }
 
   /** Returns true unless operators switched the mechanism off. */
-  public boolean uses(Mechanism mechanism) {
-    return !off.contains(mechanism);
+  public boolean isEnabled(Mechanism mechanism) {
+    return !disabledMechanisms.contains(mechanism);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServingState.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/ServingState.java
@@ -27,12 +27,12 @@
 import org.landingtrack.internal.base.Hashes;
 import org.landingtrack.internal.dispatch.RetryBudget;
 import org.landingtrack.internal.loads.FleetTallies;
-import org.landingtrack.internal.loads.LoadNews.Load;
+import org.landingtrack.internal.loads.GossipMessage.Load;
 import org.landingtrack.internal.loads.PeerLoads;
 import org.landingtrack.internal.loads.Tally;
 import org.landingtrack.internal.loads.TallyTopic;
 import org.landingtrack.internal.quarantine.Quarantine;
-import org.landingtrack.internal.retry.FleetRetries;
+import org.landingtrack.internal.retry.FleetRetryBudget;
 
 /**
  * The state from which this VM serves requests: the configuration in force, the backend servers,
@@ -43,31 +43,31 @@
   /**
    * Versions remembered per model. Older ones were published too long ago to affect any time limit.
    */
-  private static final int MAX_VERSIONS = 16;
+  private static final int MAX_VERSIONS_PER_MODEL = 16;
 
-  private static final int MIN_LOADS_AT_ONCE = 3;
-  private static final double LOADS_SHARE = 0.12;
+  private static final int MIN_CONCURRENT_LOADS = 3;
+  private static final double CONCURRENT_LOADS_SHARE = 0.12;
 
   private final EventLoop loop;
-  private final ServerBook servers;
-  private final PartStores parts;
+  private final ServerRegistry servers;
+  private final PartStores partStores;
   private final PeerLoads peerLoads;
   private final Quarantine quarantine;
   private final Evacuations evacuations;
-  private final ServerLimits limits;
-  private final ServerRests rests;
+  private final ServerLimits serverLimits;
+  private final SharedBackoffs backoffs;
   private final DecisionLog log;
-  private final Map<String, List<NamedWeights>> weights = new HashMap<>();
-  private final Map<String, ServiceRetries> retries = new HashMap<>();
-  private @Nullable FleetRetries fleetRetries;
+  private final Map<String, List<PublishedWeights>> weights = new HashMap<>();
+  private final Map<String, ServiceRetryLimiter> retries = new HashMap<>();
+  private @Nullable FleetRetryBudget fleetRetries;
   private final double maxSavedRetries;
-  private final Map<String, Double> rolloutTurns = new HashMap<>();
+  private final Map<String, Double> rolloutPositions = new HashMap<>();
   private final List<FleetTallies> tallies = new ArrayList<>();
   private boolean weightsListed;
   private @Nullable ServingConfig config;
 
   /** How this VM learned of an entry in the platform's store. */
-  public enum Heard {
+  public enum UpdateSource {
     /** From a list, which also contains entries that changed long ago. */
     LIST,
     /** From a watch, which reports the changes since its previous response. */
@@ -80,7 +80,7 @@
    * @param sinceMs the earliest time at which it may have been published, on the event loop's
    *     clock; time limits for older versions count from there
    */
-  public record NamedWeights(long version, long sinceMs) {}
+  public record PublishedWeights(long version, long sinceMs) {}
 
   /**
    * Creates a state without configuration, servers or weight versions.
@@ -91,23 +91,23 @@
    */
   public ServingState(
       EventLoop loop,
-      ServerBook servers,
+      ServerRegistry servers,
       PeerLoads peerLoads,
       DecisionLog log,
       double maxSavedRetries) {
     this.peerLoads = peerLoads;
     this.loop = loop;
     this.servers = servers;
-    this.parts = new PartStores(loop, peerLoads);
+    this.partStores = new PartStores(loop, peerLoads);
     this.quarantine = new Quarantine(loop);
     this.log = log;
     this.maxSavedRetries = maxSavedRetries;
-    this.limits = new ServerLimits(loop);
-    this.rests = new ServerRests(loop, Hashes.placement(peerLoads.address()));
-    servers.restsElsewhere(rests::isElsewhere);
+    this.serverLimits = new ServerLimits(loop);
+    this.backoffs = new SharedBackoffs(loop, Hashes.placement(peerLoads.address()));
+    servers.backsOffElsewhere(backoffs::isRequestedElsewhere);
     this.evacuations = new Evacuations(loop, log);
-    evacuations.onEnded(servers::turnedCold);
-    servers.coldAfterStart(this::coldStartMs);
+    evacuations.onEnded(servers::markDataCentreCold);
+    servers.setColdStartDuration(this::coldStartMs);
   }
 
   private long coldStartMs(String service) {
@@ -117,13 +117,13 @@
   }
 
   /** Returns the rate limits that servers set for themselves. */
-  public ServerLimits limits() {
-    return limits;
+  public ServerLimits serverLimits() {
+    return serverLimits;
   }
 
   /** Returns the backoffs that servers asked any VM for. */
-  public ServerRests rests() {
-    return rests;
+  public SharedBackoffs backoffs() {
+    return backoffs;
   }
 
   /** Returns the evacuated data centres, whose servers get no requests. */
@@ -142,8 +142,8 @@
       return List.of();
     }
     config = next;
-    log.config(next.version(), revision);
-    return parts.configure(next.partStores());
+    log.configApplied(next.version(), revision);
+    return partStores.configure(next.partStores());
   }
 
   /**
@@ -152,16 +152,17 @@
    * @param sinceMs the earliest time at which it may have been published, on the event loop's clock
    * @param source how this VM learned of it
    */
-  public void nameWeights(String model, long version, long revision, long sinceMs, Heard source) {
-    List<NamedWeights> published = weights.computeIfAbsent(model, name -> new ArrayList<>());
+  public void addPublishedWeights(
+      String model, long version, long revision, long sinceMs, UpdateSource source) {
+    List<PublishedWeights> published = weights.computeIfAbsent(model, name -> new ArrayList<>());
     if (!published.isEmpty() && published.get(published.size() - 1).version() >= version) {
       return;
     }
-    published.add(new NamedWeights(version, sinceMs));
-    if (published.size() > MAX_VERSIONS) {
+    published.add(new PublishedWeights(version, sinceMs));
+    if (published.size() > MAX_VERSIONS_PER_MODEL) {
       published.remove(0);
     }
-    log.weights(model, version, revision, source, loop.millis() - sinceMs);
+    log.weightsPublished(model, version, revision, source, loop.millis() - sinceMs);
   }
 
   /** Records that all published weight versions have been read once. */
@@ -175,7 +176,7 @@
    * these were replaced. Without the evacuations it would send requests to evacuated data centres.
    */
   public boolean ready() {
-    return config != null && servers.known() && weightsListed && evacuations.known();
+    return config != null && servers.isLoaded() && weightsListed && evacuations.isKnown();
   }
 
   /** Returns the configuration in force, or null if none is known. */
@@ -184,16 +185,16 @@
   }
 
   /** Returns the part stores, which hold KV cache entries of prompt parts. */
-  public PartStores parts() {
-    return parts;
+  public PartStores partStores() {
+    return partStores;
   }
 
   /**
    * Returns this VM's load on servers and its fetches from part stores, for reports to other VMs.
    */
   public List<Load> ownLoads() {
-    List<Load> loads = servers.ownLoads(limits::sentLately);
-    loads.addAll(parts.ownLoads());
+    List<Load> loads = servers.ownLoads(serverLimits::recentSends);
+    loads.addAll(partStores.ownLoads());
     return loads;
   }
 
@@ -213,7 +214,7 @@
    * @param own supplies this VM's counts; called in each round of load reports
    * @return the counts of all VMs
    */
-  FleetTallies tally(TallyTopic topic, Supplier<List<Tally>> own) {
+  FleetTallies registerTallies(TallyTopic topic, Supplier<List<Tally>> own) {
     FleetTallies fleetTallies = new FleetTallies(peerLoads, loop, topic, own);
     tallies.add(fleetTallies);
     return fleetTallies;
@@ -225,21 +226,21 @@
   }
 
   /** Returns the backend servers. */
-  public ServerBook servers() {
+  public ServerRegistry servers() {
     return servers;
   }
 
   /** Returns the newest published version of a model's weights. */
   public OptionalLong newestWeights(String model) {
-    List<NamedWeights> published = weights.getOrDefault(model, List.of());
+    List<PublishedWeights> published = weights.getOrDefault(model, List.of());
     return published.isEmpty()
         ? OptionalLong.empty()
         : OptionalLong.of(published.get(published.size() - 1).version());
   }
 
   /** Returns the milliseconds since the newest version of a model was published; 0 if none was. */
-  long newestNamedForMs(String model) {
-    List<NamedWeights> published = weights.getOrDefault(model, List.of());
+  long newestWeightsAgeMs(String model) {
+    List<PublishedWeights> published = weights.getOrDefault(model, List.of());
     return published.isEmpty() ? 0 : loop.millis() - published.get(published.size() - 1).sinceMs();
   }
 
@@ -249,7 +250,7 @@
    */
   OptionalLong oldestUsableWeights(String model, long graceMs) {
     OptionalLong oldest = OptionalLong.empty();
-    for (NamedWeights candidate : weights.getOrDefault(model, List.of())) {
+    for (PublishedWeights candidate : weights.getOrDefault(model, List.of())) {
       if (loop.millis() - candidate.sinceMs() >= graceMs) {
         oldest = OptionalLong.of(candidate.version());
       }
@@ -261,8 +262,8 @@
    * Returns the remaining milliseconds of a grace period that starts when a newer version replaces
    * this one; {@link Long#MAX_VALUE} for the newest version.
    */
-  long replacedLeftMs(String model, long version, long graceMs) {
-    for (NamedWeights candidate : weights.getOrDefault(model, List.of())) {
+  long replacedGraceLeftMs(String model, long version, long graceMs) {
+    for (PublishedWeights candidate : weights.getOrDefault(model, List.of())) {
       if (candidate.version() > version) {
         return Math.max(0, candidate.sinceMs() + graceMs - loop.millis());
       }
@@ -291,18 +292,18 @@
     long modelHash = Hashes.placement(model);
     outdated.sort(
         Comparator.comparingLong((ServerEntry entry) -> entry.weightVersions().get(model))
-            .thenComparingLong(entry -> Hashes.weight(modelHash, Hashes.placement(entry.id()))));
+            .thenComparingLong(entry -> Hashes.combine(modelHash, Hashes.placement(entry.id()))));
     return outdated;
   }
 
   /** Recomputes which servers load next. To be called after servers or weight versions changed. */
   public void refreshRollout() {
-    rolloutTurns.clear();
+    rolloutPositions.clear();
     for (String model : weights.keySet()) {
-      double step = 1.0 / loadsAtOnce(model);
+      double step = 1.0 / maxConcurrentLoads(model);
       double position = 0;
       for (ServerEntry entry : rolloutOrder(model)) {
-        rolloutTurns.put(entry.id(), position);
+        rolloutPositions.put(entry.id(), position);
         position += step;
       }
     }
@@ -313,20 +314,20 @@
    * rollout ends sooner, but each engine starts with an empty prefix cache: with ten of 42 engines
    * at the same time, the cold caches cost more than the old weights.
    */
-  public int loadsAtOnce(String model) {
+  public int maxConcurrentLoads(String model) {
     int engines = 0;
     for (ServerEntry entry : servers.entries()) {
       engines += entry.weightVersions().containsKey(model) ? 1 : 0;
     }
-    return Math.max(MIN_LOADS_AT_ONCE, (int) (engines * LOADS_SHARE));
+    return Math.max(MIN_CONCURRENT_LOADS, (int) (engines * CONCURRENT_LOADS_SHARE));
   }
 
   /**
-   * Returns the server's position in the rollout, in units of {@link #loadsAtOnce}: a server below
-   * 1 loads now. Infinite for a server that has nothing to load.
+   * Returns the server's position in the rollout, in units of {@link #maxConcurrentLoads}: a server
+   * below 1 loads now. Infinite for a server that has nothing to load.
    */
-  double rolloutTurn(String serverId) {
-    return rolloutTurns.getOrDefault(serverId, Double.POSITIVE_INFINITY);
+  double rolloutPosition(String serverId) {
+    return rolloutPositions.getOrDefault(serverId, Double.POSITIVE_INFINITY);
   }
 
   /** Returns the models with published weight versions. */
@@ -335,20 +336,20 @@
   }
 
   /** Replaces this VM's own retry budgets by those that all VMs share. */
-  void shareRetries(FleetRetries shared) {
+  void useFleetRetries(FleetRetryBudget shared) {
     fleetRetries = shared;
     retries.clear();
   }
 
   /** Returns the retry budget of a service. */
-  ServiceRetries retries(String service) {
+  ServiceRetryLimiter retries(String service) {
     return retries.computeIfAbsent(
         service,
         name -> {
-          FleetRetries shared = fleetRetries;
+          FleetRetryBudget shared = fleetRetries;
           return shared == null
-              ? ServiceRetries.own(new RetryBudget(maxSavedRetries))
-              : ServiceRetries.shared(shared, name);
+              ? ServiceRetryLimiter.local(new RetryBudget(maxSavedRetries))
+              : ServiceRetryLimiter.shared(shared, name);
         });
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/ServerRests.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/SharedBackoffs.java
@@ -20,8 +20,8 @@
 import java.util.List;
 import java.util.Map;
 import org.landingtrack.internal.base.Hashes;
-import org.landingtrack.internal.loads.LoadExchange;
-import org.landingtrack.internal.loads.RestNews;
+import org.landingtrack.internal.loads.BackoffReport;
+import org.landingtrack.internal.loads.GossipExchange;
 
 /**
  * Keeps the backoffs that backend servers asked any VM for, by the hash of their incarnation. A
@@ -29,48 +29,50 @@
  * available, because otherwise each of them would waste an attempt to find out. Nothing is stored
  * or sent if no server asks for a backoff. Used on the event loop only.
  */
-public final class ServerRests implements LoadExchange.Board<RestNews> {
+public final class SharedBackoffs implements GossipExchange.ReportHandler<BackoffReport> {
   /** How long a backoff is repeated to other VMs, to make up for lost messages. */
-  static final long TOLD_MS = 1_000;
+  static final long REPORT_MS = 1_000;
 
   /** Bound of backoffs in one message, 1.1 kB. */
-  static final int MAX_TOLD = 64;
+  static final int MAX_REPORTED = 64;
 
   /**
    * Extra delay of the other VMs. The VM that was asked sends the first request to the server, and
    * the others learn the result.
    */
-  private static final long OTHERS_LATER_MS = 300;
+  private static final long REMOTE_DELAY_MS = 300;
 
   /** Range over which the other VMs spread their trials, so that they come one after the other. */
-  private static final long SPREAD_MS = 700;
+  private static final long JITTER_MS = 700;
 
   private final EventLoop loop;
   private final long salt;
-  private final Map<Long, Asked> rests = new HashMap<>();
+  private final Map<Long, RequestedBackoff> backoffs = new HashMap<>();
 
-  /** A backoff that a server asked some VM for; {@code here} is true if it was this VM. */
-  private record Asked(long untilMs, long atMs, boolean here) {}
+  /** A backoff that a server asked some VM for; {@code isLocal} is true if it was this VM. */
+  private record RequestedBackoff(long untilMs, long requestedAtMs, boolean isLocal) {}
 
   /**
    * Creates an empty registry.
    *
    * @param salt differs between VMs
    */
-  ServerRests(EventLoop loop, long salt) {
+  SharedBackoffs(EventLoop loop, long salt) {
     this.loop = loop;
     this.salt = salt;
   }
 
   /** Notes that a server asked this VM to back off. */
-  void asked(long server, long restMs) {
+  void requested(long server, long restMs) {
     long now = loop.millis();
-    note(server, new Asked(now + Math.min(restMs, ServerRest.MAX_MS), now, true));
+    keepLongest(
+        server, new RequestedBackoff(now + Math.min(restMs, ServerBackoff.MAX_MS), now, true));
   }
 
-  private void note(long server, Asked backoff) {
-    if (rests.size() < ServerLimits.MAX_KEPT || rests.containsKey(server)) {
-      rests.merge(server, backoff, (known, added) -> added.untilMs > known.untilMs ? added : known);
+  private void keepLongest(long server, RequestedBackoff backoff) {
+    if (backoffs.size() < ServerLimits.MAX_LIMITS || backoffs.containsKey(server)) {
+      backoffs.merge(
+          server, backoff, (known, added) -> added.untilMs > known.untilMs ? added : known);
     }
   }
 
@@ -78,48 +80,48 @@
    * Returns true if a server asked other VMs to back off and that is not over, including a short
    * delay.
    */
-  boolean isElsewhere(long server) {
-    Asked backoff = rests.isEmpty() ? null : rests.get(server);
-    if (backoff == null || backoff.here) {
+  boolean isRequestedElsewhere(long server) {
+    RequestedBackoff backoff = backoffs.isEmpty() ? null : backoffs.get(server);
+    if (backoff == null || backoff.isLocal) {
       return false;
     }
-    long spreadMs = Math.floorMod(Hashes.weight(salt, server), SPREAD_MS);
-    return loop.millis() < backoff.untilMs + OTHERS_LATER_MS + spreadMs;
+    long spreadMs = Math.floorMod(Hashes.combine(salt, server), JITTER_MS);
+    return loop.millis() < backoff.untilMs + REMOTE_DELAY_MS + spreadMs;
   }
 
   /** Returns the number of servers that asked this VM or others to back off. */
   public int count() {
     int count = 0;
-    for (Asked backoff : rests.values()) {
+    for (RequestedBackoff backoff : backoffs.values()) {
       count += loop.millis() < backoff.untilMs ? 1 : 0;
     }
     return count;
   }
 
   @Override
-  public List<RestNews> news() {
-    if (rests.isEmpty()) {
+  public List<BackoffReport> reportsToSend() {
+    if (backoffs.isEmpty()) {
       return List.of();
     }
     long now = loop.millis();
-    rests.values().removeIf(each -> now > each.untilMs + OTHERS_LATER_MS + SPREAD_MS);
-    List<RestNews> reports = new ArrayList<>();
-    rests.forEach(
+    backoffs.values().removeIf(each -> now > each.untilMs + REMOTE_DELAY_MS + JITTER_MS);
+    List<BackoffReport> reports = new ArrayList<>();
+    backoffs.forEach(
         (server, backoff) -> {
-          long agoMs = now - backoff.atMs;
-          if (agoMs <= TOLD_MS && now < backoff.untilMs && reports.size() < MAX_TOLD) {
-            reports.add(new RestNews(server, backoff.untilMs - now, agoMs));
+          long agoMs = now - backoff.requestedAtMs;
+          if (agoMs <= REPORT_MS && now < backoff.untilMs && reports.size() < MAX_REPORTED) {
+            reports.add(new BackoffReport(server, backoff.untilMs - now, agoMs));
           }
         });
     return reports;
   }
 
   @Override
-  public void heard(List<RestNews> news) {
+  public void receiveReports(List<BackoffReport> news) {
     long now = loop.millis();
-    for (RestNews report : news) {
-      long leftMs = Math.min(report.leftMs(), ServerRest.MAX_MS);
-      note(report.server(), new Asked(now + leftMs, now - report.agoMs(), false));
+    for (BackoffReport report : news) {
+      long leftMs = Math.min(report.remainingMs(), ServerBackoff.MAX_MS);
+      keepLongest(report.server(), new RequestedBackoff(now + leftMs, now - report.agoMs(), false));
     }
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/StoreTrouble.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/StoreOutages.java
@@ -22,34 +22,34 @@
  * entries may have expired while the store was unreachable, and an older copy of the store may list
  * servers that ended long ago. Not thread-safe.
  */
-final class StoreTrouble {
+final class StoreOutages {
   /**
    * Time within which entries of ended servers that came back with an older copy of the store
    * expire.
    */
-  private static final long RETURNED_MS = 5_000;
+  private static final long STALE_COPY_MS = 5_000;
 
   private final Ticker ticker;
-  private final long lapsedMs;
+  private final long expiryGraceMs;
   private long listedAtMs;
-  private long backAtMs;
-  private long rewoundAtMs = Long.MIN_VALUE / 2;
+  private long recoveredAtMs;
+  private long rolledBackAtMs = Long.MIN_VALUE / 2;
 
   /**
    * An entry whose removal was learned at or after this time may only have expired. That doubt ends
-   * {@link #lapsedMs} after the store's recovery.
+   * {@link #expiryGraceMs} after the store's recovery.
    */
-  private long doubtSinceMs;
+  private long uncertainSinceMs;
 
   /**
    * Creates the state of a store without an outage.
    *
    * @param graceMs how long after the store's recovery a missing entry may still come back
    */
-  StoreTrouble(Ticker ticker, long graceMs) {
+  StoreOutages(Ticker ticker, long graceMs) {
     this.ticker = ticker;
-    this.lapsedMs = graceMs;
-    this.backAtMs = -graceMs;
+    this.expiryGraceMs = graceMs;
+    this.recoveredAtMs = -graceMs;
   }
 
   /** Notes that all entries were read. */
@@ -58,26 +58,26 @@
   }
 
   /** Notes that the store answers again. Failures in close succession count as one outage. */
-  void returned() {
+  void onRecovered() {
     long now = ticker.millis();
-    if (now - backAtMs >= lapsedMs) {
-      doubtSinceMs = listedAtMs;
+    if (now - recoveredAtMs >= expiryGraceMs) {
+      uncertainSinceMs = listedAtMs;
     }
-    backAtMs = now;
+    recoveredAtMs = now;
   }
 
   /** Notes that the store came back from an older copy. */
-  void rewound() {
-    rewoundAtMs = ticker.millis();
+  void onRolledBack() {
+    rolledBackAtMs = ticker.millis();
   }
 
   /** Returns true while listed entries may be outdated ones of an older copy. */
-  boolean mayBeOlder() {
-    return ticker.millis() - rewoundAtMs < RETURNED_MS;
+  boolean mayBeStale() {
+    return ticker.millis() - rolledBackAtMs < STALE_COPY_MS;
   }
 
   /** Returns true if an entry whose removal was learned at a time may only have expired. */
-  boolean mayHaveLapsed(long heardGoneAtMs) {
-    return heardGoneAtMs >= doubtSinceMs && ticker.millis() - backAtMs < lapsedMs;
+  boolean mayHaveExpired(long heardGoneAtMs) {
+    return heardGoneAtMs >= uncertainSinceMs && ticker.millis() - recoveredAtMs < expiryGraceMs;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/StructuredDecisionLog.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/StructuredDecisionLog.java
@@ -18,7 +18,7 @@
 import java.util.Locale;
 import org.landingtrack.ErrorKind;
 import org.landingtrack.internal.quarantine.Quarantine.Suspicion;
-import org.landingtrack.internal.serving.ServingState.Heard;
+import org.landingtrack.internal.serving.ServingState.UpdateSource;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.slf4j.event.Level;
@@ -32,11 +32,11 @@
   private static final Logger quarantine = LoggerFactory.getLogger("quarantine");
   private static final Logger weights = LoggerFactory.getLogger("weights");
 
-  private static LoggingEventBuilder line(RequestRun run, Level level) {
-    return line(run, level, run.ageMs());
+  private static LoggingEventBuilder requestEvent(RequestRun run, Level level) {
+    return requestEvent(run, level, run.ageMs());
   }
 
-  private static LoggingEventBuilder line(RequestRun run, Level level, long ageMs) {
+  private static LoggingEventBuilder requestEvent(RequestRun run, Level level, long ageMs) {
     return requests
         .atLevel(level)
         .addKeyValue("requestId", run.request().id())
@@ -47,8 +47,8 @@
   }
 
   @Override
-  public void routed(RequestRun run, RouteFacts decision) {
-    line(run, Level.INFO, decision.ageMs())
+  public void routed(RequestRun run, RoutingDecision decision) {
+    requestEvent(run, Level.INFO, decision.ageMs())
         .addKeyValue("server", decision.server())
         .addKeyValue("attempt", decision.attempt())
         .addKeyValue("candidates", decision.candidates())
@@ -58,20 +58,20 @@
         .addKeyValue("lagMs", Math.round(decision.lagMs()))
         .addKeyValue("memoryPercent", Math.round(100 * decision.memoryShare()))
         .addKeyValue("promptTokens", decision.promptTokens())
-        .addKeyValue("keptTokens", decision.keptTokens())
+        .addKeyValue("keptTokens", decision.cachedTokens())
         .addKeyValue("fetchedTokens", decision.fetchedTokens())
-        .addKeyValue("fetch", decision.moves().fetch())
-        .addKeyValue("save", decision.moves().save())
-        .addKeyValue("weights", decision.weights())
+        .addKeyValue("fetch", decision.transfers().fetch())
+        .addKeyValue("save", decision.transfers().save())
+        .addKeyValue("weights", decision.requiredWeights())
         .addKeyValue("newestWeights", decision.newestWeights())
-        .addKeyValue("newestForMs", decision.newestForMs())
+        .addKeyValue("newestForMs", decision.newestWeightsAgeMs())
         .addKeyValue("configVersion", decision.configVersion())
         .log("routed");
   }
 
   @Override
-  public void tryFailed(RequestRun run, String server, String outcome, String why) {
-    line(run, Level.INFO)
+  public void attemptFailed(RequestRun run, String server, String outcome, String why) {
+    requestEvent(run, Level.INFO)
         .addKeyValue("server", server)
         .addKeyValue("outcome", outcome)
         .addKeyValue("why", why)
@@ -79,8 +79,8 @@
   }
 
   @Override
-  public void brokeOff(RequestRun run, String server, String outcome, String why) {
-    line(run, Level.INFO)
+  public void attemptInDoubt(RequestRun run, String server, String outcome, String why) {
+    requestEvent(run, Level.INFO)
         .addKeyValue("server", server)
         .addKeyValue("outcome", outcome)
         .addKeyValue("why", why)
@@ -90,7 +90,7 @@
 
   @Override
   public void answered(RequestRun run, String server, int status, long firstMs, long totalMs) {
-    line(run, Level.INFO)
+    requestEvent(run, Level.INFO)
         .addKeyValue("server", server)
         .addKeyValue("status", status)
         .addKeyValue("firstMs", firstMs)
@@ -99,7 +99,7 @@
 
   @Override
   public void refused(RequestRun run, ErrorKind kind, String why, long retryAfterMs) {
-    line(run, Level.INFO)
+    requestEvent(run, Level.INFO)
         .addKeyValue("kind", kind)
         .addKeyValue("why", why)
         .addKeyValue("retryAfterMs", retryAfterMs)
@@ -107,12 +107,12 @@
   }
 
   @Override
-  public void cut(RequestRun run, String server, String why) {
-    line(run, Level.INFO).addKeyValue("server", server).addKeyValue("why", why).log("cut");
+  public void aborted(RequestRun run, String server, String why) {
+    requestEvent(run, Level.INFO).addKeyValue("server", server).addKeyValue("why", why).log("cut");
   }
 
   @Override
-  public void server(String change, ServerEntry entry, long revision) {
+  public void serverChanged(String change, ServerEntry entry, long revision) {
     servers
         .atInfo()
         .addKeyValue("server", entry.id())
@@ -124,7 +124,7 @@
   }
 
   @Override
-  public void noticed(ServerEntry server, String change, double limitPerSecond, long restMs) {
+  public void serverStated(ServerEntry server, String change, double limitPerSecond, long restMs) {
     servers
         .atInfo()
         .addKeyValue("server", server.id())
@@ -135,12 +135,12 @@
   }
 
   @Override
-  public void suspected(Suspicion suspicion) {
+  public void suspicionChanged(Suspicion suspicion) {
     quarantine
         .atInfo()
         .addKeyValue("digest", suspicion.digest().hex())
         .addKeyValue("bodyBytes", suspicion.digest().bodyBytes())
-        .addKeyValue("ends", suspicion.ends())
+        .addKeyValue("ends", suspicion.crashCount())
         .addKeyValue("seenHere", suspicion.seenHere())
         .log("request " + suspicion.change().name().toLowerCase(Locale.ROOT));
   }
@@ -151,7 +151,7 @@
   }
 
   @Override
-  public void config(long version, long revision) {
+  public void configApplied(long version, long revision) {
     config
         .atInfo()
         .addKeyValue("version", version)
@@ -160,7 +160,7 @@
   }
 
   @Override
-  public void admission(String service, boolean isLimited, double minShare, String why) {
+  public void admissionChanged(String service, boolean isLimited, double minShare, String why) {
     servers
         .atInfo()
         .addKeyValue("service", service)
@@ -170,7 +170,7 @@
   }
 
   @Override
-  public void evacuation(String dataCentre, boolean begins, long durationMs) {
+  public void evacuationChanged(String dataCentre, boolean begins, long durationMs) {
     servers
         .atInfo()
         .addKeyValue("dataCentre", dataCentre)
@@ -179,7 +179,8 @@
   }
 
   @Override
-  public void weights(String model, long version, long revision, Heard source, long agoMs) {
+  public void weightsPublished(
+      String model, long version, long revision, UpdateSource source, long agoMs) {
     weights
         .atInfo()
         .addKeyValue("model", model)
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/Team.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/Team.java
@@ -20,11 +20,11 @@
  *
  * @param isolated true if it shares no KV cache with other teams
  * @param priority the priority of its requests, which overrides the route's; -1 if it has none
- * @param homes the regions in which its requests may run
+ * @param allowedRegions the regions in which its requests may run
  */
-public record Team(String name, boolean isolated, int priority, Homes homes) {
+public record Team(String name, boolean isolated, int priority, AllowedRegions allowedRegions) {
   /** Creates a team whose requests may run in all regions. */
   public Team(String name, boolean isolated, int priority) {
-    this(name, isolated, priority, Homes.ANYWHERE);
+    this(name, isolated, priority, AllowedRegions.ALL_REGIONS);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/settings/CommonKeys.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/settings/CommonKeys.java
@@ -26,31 +26,31 @@
  * entry process has its own key {@link #PROCESS}.
  */
 final class CommonKeys {
-  static final String NAME = "[a-z0-9][a-z0-9-]{0,62}";
-  static final String NAME_RULE = "a name of a-z, 0-9 and hyphens, 63 characters at most";
-  static final String ADDRESS = "[0-9a-fA-F.:\\[\\]]+:[0-9]{1,5}";
-  static final String ADDRESS_RULE = "an address such as 10.0.0.1:7000";
-  static final String HOST = "[0-9a-fA-F.:]+";
-  static final String HOST_RULE = "an IP address";
+  static final String NAME_PATTERN = "[a-z0-9][a-z0-9-]{0,62}";
+  static final String NAME_DESCRIPTION = "a name of a-z, 0-9 and hyphens, 63 characters at most";
+  static final String ADDRESS_PATTERN = "[0-9a-fA-F.:\\[\\]]+:[0-9]{1,5}";
+  static final String ADDRESS_DESCRIPTION = "an address such as 10.0.0.1:7000";
+  static final String HOST_PATTERN = "[0-9a-fA-F.:]+";
+  static final String HOST_DESCRIPTION = "an IP address";
   private static final String TLS_CERTIFICATE = "tls.certificate";
   private static final String TLS_PRIVATE_KEY = "tls.privateKey";
   private static final String TLS_AUTHORITY = "tls.authority";
-  private static final String FILE = ".+";
-  private static final String FILE_RULE = "the path of a PEM file";
+  private static final String FILE_PATTERN = ".+";
+  private static final String FILE_DESCRIPTION = "the path of a PEM file";
   static final String PROCESS = "process";
   static final int MAX_PORT = 65_535;
 
   static final List<SettingKey> KEYS =
       List.of(
           SettingKey.text(PROCESS, null, "gateway|controller", "gateway or controller"),
-          SettingKey.text("vm", null, NAME, NAME_RULE),
-          SettingKey.text("dataCentre", null, NAME, NAME_RULE),
-          SettingKey.text("region", "default", NAME, NAME_RULE),
+          SettingKey.text("vm", null, NAME_PATTERN, NAME_DESCRIPTION),
+          SettingKey.text("dataCentre", null, NAME_PATTERN, NAME_DESCRIPTION),
+          SettingKey.text("region", "default", NAME_PATTERN, NAME_DESCRIPTION),
           SettingKey.text("log.format", "text", "text|json", "text or json"),
           SettingKey.text("log.level", "info", "debug|info|warn|error", "a log level"),
-          SettingKey.text(TLS_CERTIFICATE, "", FILE, FILE_RULE),
-          SettingKey.text(TLS_PRIVATE_KEY, "", FILE, FILE_RULE),
-          SettingKey.text(TLS_AUTHORITY, "", FILE, FILE_RULE));
+          SettingKey.text(TLS_CERTIFICATE, "", FILE_PATTERN, FILE_DESCRIPTION),
+          SettingKey.text(TLS_PRIVATE_KEY, "", FILE_PATTERN, FILE_DESCRIPTION),
+          SettingKey.text(TLS_AUTHORITY, "", FILE_PATTERN, FILE_DESCRIPTION));
 
   private CommonKeys() {}
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/settings/ControllerSettings.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/settings/ControllerSettings.java
@@ -48,20 +48,23 @@
     long probeMs,
     @Nullable TlsFiles tls) {
 
-  private static final String URL = "http://.+|https://.+|";
+  private static final String URL_PATTERN = "http://.+|https://.+|";
   private static final List<SettingKey> KEYS = keys();
 
   private static List<SettingKey> keys() {
     List<SettingKey> keys = new ArrayList<>(CommonKeys.KEYS);
-    keys.add(SettingKey.text("host", "127.0.0.1", CommonKeys.HOST, CommonKeys.HOST_RULE));
+    keys.add(
+        SettingKey.text("host", "127.0.0.1", CommonKeys.HOST_PATTERN, CommonKeys.HOST_DESCRIPTION));
     keys.add(SettingKey.number("ports.peer", null, 0, CommonKeys.MAX_PORT));
     keys.add(SettingKey.number("ports.operators", null, 0, CommonKeys.MAX_PORT));
     keys.add(SettingKey.number("ports.http", null, 0, CommonKeys.MAX_PORT));
-    keys.add(SettingKey.text("platform.objectApi", null, URL, "an http or https URL"));
-    keys.add(SettingKey.text("platform.vmList", "", URL, "an http or https URL"));
-    keys.add(SettingKey.texts("seeds", List.of(), CommonKeys.ADDRESS, CommonKeys.ADDRESS_RULE));
+    keys.add(SettingKey.text("platform.objectApi", null, URL_PATTERN, "an http or https URL"));
+    keys.add(SettingKey.text("platform.vmList", "", URL_PATTERN, "an http or https URL"));
+    keys.add(
+        SettingKey.textList(
+            "seeds", List.of(), CommonKeys.ADDRESS_PATTERN, CommonKeys.ADDRESS_DESCRIPTION));
     keys.add(
-        SettingKey.texts(
+        SettingKey.textList(
             "operators",
             List.of(),
             "[a-z0-9-]+:(reader|writer):[0-9a-f]{64}",
@@ -89,8 +92,8 @@
         values.integer("ports.http"),
         values.text("platform.objectApi"),
         values.text("platform.vmList"),
-        values.texts("seeds"),
-        values.texts("operators"),
+        values.textList("seeds"),
+        values.textList("operators"),
         values.number("membership.probeMs"),
         CommonKeys.tls(path, values));
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/settings/EntrySettings.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/settings/EntrySettings.java
@@ -26,7 +26,7 @@
  * platform's store holds the configuration and the list of backend servers. Times are in
  * milliseconds.
  *
- * @param strength CPU capacity of this VM, in hundredths of a core
+ * @param cpuHundredths CPU capacity of this VM, in hundredths of a core
  * @param callersAddress address that callers connect to
  * @param readinessAddress address at which the load balancer asks whether this VM accepts
  *     connections
@@ -36,19 +36,19 @@
  * @param storeAddress address of the platform's store
  * @param storeReadsPerSecond read calls that the store accepts from all VMs together
  * @param storeWritesPerSecond write calls that the store accepts from all VMs together
- * @param storeSettledMs time after its last failure from which the store counts as healthy again
- * @param configMs time within which an accepted configuration must be in force
+ * @param storeRecoveryMs time after its last failure from which the store counts as healthy again
+ * @param maxConfigDelayMs time within which an accepted configuration must be in force
  * @param stopGraceMs time from the stop signal until the process is killed
- * @param leavingMs time for which a leaving backend server may still get requests
- * @param retryShare retries that a service may have for each of its requests, from 0 to 1
- * @param retryExtra further retries in a window, for all VMs together
+ * @param maxLeavingMs time for which a leaving backend server may still get requests
+ * @param retriesPerRequest retries that a service may have for each of its requests, from 0 to 1
+ * @param extraRetries further retries in a window, for all VMs together
  * @param retryWindowMs length of that window
  * @param leaseMs minimum time between the orders of two lease holders to one engine
- * @param weightsMs time after which no request may start on weights older than the newest published
- *     ones
- * @param fencesChecked true if engines reject orders with an old fencing token
- * @param evacuationMs time within which an evacuated data centre must stop getting requests; 0 if
- *     operators evacuate none
+ * @param maxWeightsDelayMs time after which no request may start on weights older than the newest
+ *     published ones
+ * @param enginesCheckFencing true if engines reject orders with an old fencing token
+ * @param maxEvacuationDelayMs time within which an evacuated data centre must stop getting
+ *     requests; 0 if operators evacuate none
  * @param coldOvershoot multiple of its rate that a cold server can take within a single second
  * @param coldTolerance further requests that it can take in that second
  * @param regions region of each data centre
@@ -60,7 +60,7 @@
 public record EntrySettings(
     String vm,
     String dataCentre,
-    int strength,
+    int cpuHundredths,
     String logLevel,
     String callersAddress,
     String readinessAddress,
@@ -69,17 +69,17 @@
     String storeAddress,
     double storeReadsPerSecond,
     double storeWritesPerSecond,
-    long storeSettledMs,
-    long configMs,
+    long storeRecoveryMs,
+    long maxConfigDelayMs,
     long stopGraceMs,
-    long leavingMs,
-    double retryShare,
-    double retryExtra,
+    long maxLeavingMs,
+    double retriesPerRequest,
+    double extraRetries,
     long retryWindowMs,
     long leaseMs,
-    long weightsMs,
-    boolean fencesChecked,
-    long evacuationMs,
+    long maxWeightsDelayMs,
+    boolean enginesCheckFencing,
+    long maxEvacuationDelayMs,
     double coldOvershoot,
     double coldTolerance,
     Map<String, String> regions,
@@ -88,16 +88,19 @@
     double linkMbps,
     List<String> mechanismsOff) {
 
-  private static final int HUNDREDTHS = 100;
+  private static final int HUNDREDTHS_PER_CORE = 100;
   private static final long MAX_CORES = 1_024;
   private static final long MAX_RATE = 1_000_000;
   private static final long MAX_MS = 3_600_000;
   private static final long MS_PER_SECOND = 1_000;
   private static final long MAX_OVERSHOOT = 100;
-  private static final char IN = '=';
-  private static final String REGION = CommonKeys.NAME + IN + CommonKeys.NAME;
-  private static final String MECHANISM = "fleetAdmission|sharedHealth|fleetRetries|vmProtection";
-  private static final String MECHANISM_RULE = "one of " + MECHANISM.replace("|", ", ");
+  private static final char REGION_SEPARATOR = '=';
+  private static final String REGION_PATTERN =
+      CommonKeys.NAME_PATTERN + REGION_SEPARATOR + CommonKeys.NAME_PATTERN;
+  private static final String MECHANISM_PATTERN =
+      "fleetAdmission|sharedHealth|fleetRetries|vmProtection";
+  private static final String MECHANISM_DESCRIPTION =
+      "one of " + MECHANISM_PATTERN.replace("|", ", ");
   private static final List<SettingKey> KEYS = keys();
 
   private static List<SettingKey> keys() {
@@ -106,32 +109,36 @@
     keys.add(SettingKey.text(CommonKeys.PROCESS, null, "entry", "entry"));
     for (String address :
         List.of("callers.address", "readiness.address", "peers.address", "store.address")) {
-      keys.add(SettingKey.text(address, null, CommonKeys.ADDRESS, CommonKeys.ADDRESS_RULE));
+      keys.add(
+          SettingKey.text(
+              address, null, CommonKeys.ADDRESS_PATTERN, CommonKeys.ADDRESS_DESCRIPTION));
     }
     keys.add(
-        SettingKey.texts("peers.seeds", List.of(), CommonKeys.ADDRESS, CommonKeys.ADDRESS_RULE));
+        SettingKey.textList(
+            "peers.seeds", List.of(), CommonKeys.ADDRESS_PATTERN, CommonKeys.ADDRESS_DESCRIPTION));
     keys.add(SettingKey.decimal("store.readsPerSecond", 1, MAX_RATE));
     keys.add(SettingKey.decimal("store.writesPerSecond", 1, MAX_RATE));
     keys.add(SettingKey.decimal("store.settledMs", 0, MAX_MS));
     keys.add(SettingKey.decimal("config.withinMs", 100, MAX_MS));
-    keys.add(SettingKey.share("cpu.share"));
+    keys.add(SettingKey.fraction("cpu.share"));
     keys.add(SettingKey.decimal("cpu.cores", 1, MAX_CORES));
     keys.add(SettingKey.decimal("stopGraceS", 1, MAX_MS / MS_PER_SECOND));
     keys.add(SettingKey.decimal("servers.leavingMs", 0, MAX_MS));
-    keys.add(SettingKey.share("retries.share"));
+    keys.add(SettingKey.fraction("retries.share"));
     keys.add(SettingKey.decimal("retries.extra", 0, MAX_RATE));
-    keys.add(SettingKey.decimalOr("retries.windowS", 10, 1, MAX_MS / MS_PER_SECOND));
+    keys.add(SettingKey.optionalDecimal("retries.windowS", 10, 1, MAX_MS / MS_PER_SECOND));
     keys.add(SettingKey.decimal("orders.leaseMs", 100, MAX_MS));
     keys.add(SettingKey.flag("orders.fencesChecked"));
     keys.add(SettingKey.decimal("weights.withinMs", 100, MAX_MS));
-    keys.add(SettingKey.decimalOr("evacuations.withinMs", 0, 0, MAX_MS));
-    keys.add(SettingKey.decimalOr("coldServers.overshoot", 1, 1, MAX_OVERSHOOT));
-    keys.add(SettingKey.decimalOr("coldServers.tolerance", 0, 0, MAX_RATE));
-    keys.add(SettingKey.texts("regions", List.of(), REGION, "DATA-CENTRE=REGION"));
-    keys.add(SettingKey.decimalOr("limits.memoryMb", 0, 0, MAX_RATE));
-    keys.add(SettingKey.decimalOr("limits.fileDescriptors", 0, 0, MAX_RATE));
-    keys.add(SettingKey.decimalOr("limits.linkMbps", 0, 0, MAX_RATE));
-    keys.add(SettingKey.texts("mechanisms.off", List.of(), MECHANISM, MECHANISM_RULE));
+    keys.add(SettingKey.optionalDecimal("evacuations.withinMs", 0, 0, MAX_MS));
+    keys.add(SettingKey.optionalDecimal("coldServers.overshoot", 1, 1, MAX_OVERSHOOT));
+    keys.add(SettingKey.optionalDecimal("coldServers.tolerance", 0, 0, MAX_RATE));
+    keys.add(SettingKey.textList("regions", List.of(), REGION_PATTERN, "DATA-CENTRE=REGION"));
+    keys.add(SettingKey.optionalDecimal("limits.memoryMb", 0, 0, MAX_RATE));
+    keys.add(SettingKey.optionalDecimal("limits.fileDescriptors", 0, 0, MAX_RATE));
+    keys.add(SettingKey.optionalDecimal("limits.linkMbps", 0, 0, MAX_RATE));
+    keys.add(
+        SettingKey.textList("mechanisms.off", List.of(), MECHANISM_PATTERN, MECHANISM_DESCRIPTION));
     return List.copyOf(keys);
   }
 
@@ -140,7 +147,7 @@
     return new EntrySettings(
         vm,
         dataCentre,
-        strength,
+        cpuHundredths,
         level,
         callersAddress,
         readinessAddress,
@@ -149,17 +156,17 @@
         storeAddress,
         storeReadsPerSecond,
         storeWritesPerSecond,
-        storeSettledMs,
-        configMs,
+        storeRecoveryMs,
+        maxConfigDelayMs,
         stopGraceMs,
-        leavingMs,
-        retryShare,
-        retryExtra,
+        maxLeavingMs,
+        retriesPerRequest,
+        extraRetries,
         retryWindowMs,
         leaseMs,
-        weightsMs,
-        fencesChecked,
-        evacuationMs,
+        maxWeightsDelayMs,
+        enginesCheckFencing,
+        maxEvacuationDelayMs,
         coldOvershoot,
         coldTolerance,
         regions,
@@ -179,12 +186,14 @@
     return new EntrySettings(
         values.text("vm"),
         values.text("dataCentre"),
-        (int) Math.round(HUNDREDTHS * values.decimal("cpu.share") * values.decimal("cpu.cores")),
+        (int)
+            Math.round(
+                HUNDREDTHS_PER_CORE * values.decimal("cpu.share") * values.decimal("cpu.cores")),
         values.text("log.level"),
         values.text("callers.address"),
         values.text("readiness.address"),
         values.text("peers.address"),
-        values.texts("peers.seeds"),
+        values.textList("peers.seeds"),
         values.text("store.address"),
         values.decimal("store.readsPerSecond"),
         values.decimal("store.writesPerSecond"),
@@ -201,17 +210,17 @@
         values.millis("evacuations.withinMs"),
         values.decimal("coldServers.overshoot"),
         values.decimal("coldServers.tolerance"),
-        regions(values.texts("regions")),
+        regions(values.textList("regions")),
         (int) values.decimal("limits.memoryMb"),
         (int) values.decimal("limits.fileDescriptors"),
         values.decimal("limits.linkMbps"),
-        List.copyOf(values.texts("mechanisms.off")));
+        List.copyOf(values.textList("mechanisms.off")));
   }
 
   private static Map<String, String> regions(List<String> texts) {
     Map<String, String> regions = new HashMap<>();
     for (String text : texts) {
-      int separator = text.indexOf(IN);
+      int separator = text.indexOf(REGION_SEPARATOR);
       regions.put(text.substring(0, separator), text.substring(separator + 1));
     }
     return Map.copyOf(regions);
--- a/landingtrack/src/main/java/org/landingtrack/internal/settings/GatewaySettings.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/settings/GatewaySettings.java
@@ -25,8 +25,8 @@
  * Validated settings of a gateway process. Times are in milliseconds, sizes in bytes.
  *
  * @param controllers addresses of the peer ports of controllers, the one on the same VM first
- * @param policy routing policy; the policies other than {@code landingtrack} are baselines for
- *     measurements
+ * @param routingPolicy routing policy; the policies other than {@code landingtrack} are baselines
+ *     for measurements
  * @param tls key and certificates for connections with other processes and operators; null without
  *     TLS
  */
@@ -43,18 +43,22 @@
     long bodyTimeoutMs,
     long defaultDeadlineMs,
     long stopGraceMs,
-    int maxRequests,
-    String policy,
-    long seed,
+    int maxConcurrentRequests,
+    String routingPolicy,
+    long routingSeed,
     @Nullable TlsFiles tls) {
 
   private static final List<SettingKey> KEYS = keys();
 
   private static List<SettingKey> keys() {
     List<SettingKey> keys = new ArrayList<>(CommonKeys.KEYS);
-    keys.add(SettingKey.text("callers.host", "127.0.0.1", CommonKeys.HOST, CommonKeys.HOST_RULE));
+    keys.add(
+        SettingKey.text(
+            "callers.host", "127.0.0.1", CommonKeys.HOST_PATTERN, CommonKeys.HOST_DESCRIPTION));
     keys.add(SettingKey.number("callers.port", null, 0, CommonKeys.MAX_PORT));
-    keys.add(SettingKey.texts("controllers", null, CommonKeys.ADDRESS, CommonKeys.ADDRESS_RULE));
+    keys.add(
+        SettingKey.textList(
+            "controllers", null, CommonKeys.ADDRESS_PATTERN, CommonKeys.ADDRESS_DESCRIPTION));
     keys.add(SettingKey.number("requests.maxBodyBytes", 4_000_000L, 1_000, 64_000_000));
     keys.add(SettingKey.number("requests.bodyTimeoutMs", 10_000L, 100, 600_000));
     keys.add(SettingKey.number("requests.defaultDeadlineMs", 60_000L, 100, 3_600_000));
@@ -85,7 +89,7 @@
         values.text("log.level"),
         values.text("callers.host"),
         values.integer("callers.port"),
-        values.texts("controllers"),
+        values.textList("controllers"),
         values.integer("requests.maxBodyBytes"),
         values.number("requests.bodyTimeoutMs"),
         values.number("requests.defaultDeadlineMs"),
--- a/landingtrack/src/main/java/org/landingtrack/internal/settings/SettingKey.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/settings/SettingKey.java
@@ -24,26 +24,26 @@
  *
  * @param path dotted path, for example {@code callers.port}
  * @param type type of its value
- * @param fallback default value if the key is missing; null if the key is required
+ * @param defaultValue default value if the key is missing; null if the key is required
  * @param min smallest allowed number
  * @param max largest allowed number
  * @param pattern pattern that a text, or each text of a list, must match
- * @param allowed allowed values in words, for error messages
+ * @param allowedValues allowed values in words, for error messages
  */
 record SettingKey(
     String path,
     Type type,
-    @Nullable Object fallback,
+    @Nullable Object defaultValue,
     long min,
     long max,
     @Nullable Pattern pattern,
-    String allowed) {
+    String allowedValues) {
 
   /** Types of values. */
   enum Type {
     NUMBER,
     TEXT,
-    TEXTS,
+    TEXT_LIST,
     DECIMAL,
     FLAG
   }
@@ -60,7 +60,7 @@
   }
 
   /** Creates a required key for a number from 0 to 1 that may have a fraction. */
-  static SettingKey share(String path) {
+  static SettingKey fraction(String path) {
     return decimal(path, 0, 1);
   }
 
@@ -74,7 +74,7 @@
   }
 
   /** Creates an optional key for a number that may have a fraction. */
-  static SettingKey decimalOr(String path, double defaultDecimal, long min, long max) {
+  static SettingKey optionalDecimal(String path, double defaultDecimal, long min, long max) {
     return new SettingKey(
         path, Type.DECIMAL, defaultDecimal, min, max, null, "a number from " + min + " to " + max);
   }
@@ -87,9 +87,15 @@
     return new SettingKey(path, Type.TEXT, defaultText, 0, 0, Pattern.compile(regex), allowed);
   }
 
-  static SettingKey texts(
+  static SettingKey textList(
       String path, @Nullable List<String> defaultTexts, String regex, String allowed) {
     return new SettingKey(
-        path, Type.TEXTS, defaultTexts, 0, 0, Pattern.compile(regex), "a list, each " + allowed);
+        path,
+        Type.TEXT_LIST,
+        defaultTexts,
+        0,
+        0,
+        Pattern.compile(regex),
+        "a list, each " + allowed);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/settings/SettingsReader.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/settings/SettingsReader.java
@@ -84,7 +84,7 @@
     } catch (IOException e) {
       throw new SettingsException(file, lastLine, "the file cannot be read");
     }
-    fillFallbacks(lastLine);
+    fillDefaults(lastLine);
   }
 
   private void readObject(JsonParser parser, String prefix) throws IOException {
@@ -117,7 +117,7 @@
     return switch (key.type()) {
       case NUMBER -> number(parser, key, line);
       case TEXT -> text(parser, key, line);
-      case TEXTS -> texts(parser, key, line);
+      case TEXT_LIST -> textList(parser, key, line);
       case DECIMAL -> decimal(parser, key, line);
       case FLAG -> flag(parser, key, line);
     };
@@ -126,43 +126,43 @@
   private Object number(JsonParser parser, SettingKey key, int line) throws IOException {
     if (parser.currentToken() != JsonToken.VALUE_NUMBER_INT
         || parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
-      throw refuse(key, line);
+      throw invalidValue(key, line);
     }
     long value = parser.getLongValue();
     if (value < key.min() || value > key.max()) {
-      throw refuse(key, line);
+      throw invalidValue(key, line);
     }
     return value;
   }
 
   private Object decimal(JsonParser parser, SettingKey key, int line) throws IOException {
     if (!parser.currentToken().isNumeric()) {
-      throw refuse(key, line);
+      throw invalidValue(key, line);
     }
     double value = parser.getDoubleValue();
     if (!(value >= key.min() && value <= key.max())) {
-      throw refuse(key, line);
+      throw invalidValue(key, line);
     }
     return value;
   }
 
   private Object flag(JsonParser parser, SettingKey key, int line) throws IOException {
     if (!parser.currentToken().isBoolean()) {
-      throw refuse(key, line);
+      throw invalidValue(key, line);
     }
     return parser.getBooleanValue();
   }
 
   private String text(JsonParser parser, SettingKey key, int line) throws IOException {
     if (parser.currentToken() != JsonToken.VALUE_STRING || !matches(key, parser.getText())) {
-      throw refuse(key, line);
+      throw invalidValue(key, line);
     }
     return parser.getText();
   }
 
-  private Object texts(JsonParser parser, SettingKey key, int line) throws IOException {
+  private Object textList(JsonParser parser, SettingKey key, int line) throws IOException {
     if (parser.currentToken() != JsonToken.START_ARRAY) {
-      throw refuse(key, line);
+      throw invalidValue(key, line);
     }
     List<String> list = new ArrayList<>();
     while (parser.nextToken() != JsonToken.END_ARRAY) {
@@ -176,17 +176,18 @@
     return pattern == null || pattern.matcher(value).matches();
   }
 
-  private SettingsException refuse(SettingKey key, int line) {
-    return new SettingsException(file, line, "key '" + key.path() + "' must be " + key.allowed());
+  private SettingsException invalidValue(SettingKey key, int line) {
+    return new SettingsException(
+        file, line, "key '" + key.path() + "' must be " + key.allowedValues());
   }
 
-  private void fillFallbacks(int lastLine) {
+  private void fillDefaults(int lastLine) {
     List<String> missing = new ArrayList<>();
     for (SettingKey key : keys.values()) {
       if (values.containsKey(key.path())) {
         continue;
       }
-      Object defaultValue = key.fallback();
+      Object defaultValue = key.defaultValue();
       if (defaultValue == null) {
         missing.add(key.path());
         continue;
@@ -200,7 +201,9 @@
     SettingKey first = keys.get(missing.get(0));
     if (first != null) {
       throw new SettingsException(
-          file, lastLine, "key '" + first.path() + "' is missing; it must be " + first.allowed());
+          file,
+          lastLine,
+          "key '" + first.path() + "' is missing; it must be " + first.allowedValues());
     }
   }
 
@@ -247,7 +250,7 @@
       return (Boolean) value(path);
     }
 
-    List<String> texts(String path) {
+    List<String> textList(String path) {
       List<String> list = new ArrayList<>();
       for (Object item : (List<?>) value(path)) {
         list.add((String) item);
--- a/landingtrack/src/main/java/org/landingtrack/internal/tls/CertificateIssuer.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/tls/CertificateIssuer.java
@@ -32,26 +32,26 @@
  */
 public final class CertificateIssuer {
   /** Name of the file with a certificate. */
-  public static final String CERTIFICATE = "certificate.pem";
+  public static final String CERTIFICATE_FILE = "certificate.pem";
 
   /** Name of the file with a private key, which only its owner may read. */
-  public static final String PRIVATE_KEY = "private-key.pem";
+  public static final String PRIVATE_KEY_FILE = "private-key.pem";
 
   /** Name of the file with the authority's certificate, written beside each issued certificate. */
-  public static final String AUTHORITY = "authority.pem";
+  public static final String AUTHORITY_FILE = "authority.pem";
 
   private CertificateIssuer() {}
 
   /** Creates an authority, valid for a number of days, and writes its files to a folder. */
-  public static void newAuthority(Path folder, int days) {
+  public static void createAuthority(Path folder, int days) {
     HeldCertificate authority =
         new HeldCertificate.Builder()
             .commonName("landingtrack authority")
             .certificateAuthority(0)
             .duration(days, TimeUnit.DAYS)
             .build();
-    write(folder.resolve(CERTIFICATE), authority.certificatePem(), false);
-    write(folder.resolve(PRIVATE_KEY), authority.privateKeyPkcs8Pem(), true);
+    writeNewFile(folder.resolve(CERTIFICATE_FILE), authority.certificatePem(), false);
+    writeNewFile(folder.resolve(PRIVATE_KEY_FILE), authority.privateKeyPkcs8Pem(), true);
   }
 
   /**
@@ -61,9 +61,9 @@
    */
   public static void issue(
       Path authorityFolder, String vm, List<String> addresses, int days, Path folder) {
-    String authorityPem = read(authorityFolder.resolve(CERTIFICATE));
+    String authorityPem = read(authorityFolder.resolve(CERTIFICATE_FILE));
     HeldCertificate authority =
-        HeldCertificate.decode(authorityPem + read(authorityFolder.resolve(PRIVATE_KEY)));
+        HeldCertificate.decode(authorityPem + read(authorityFolder.resolve(PRIVATE_KEY_FILE)));
     HeldCertificate.Builder builder =
         new HeldCertificate.Builder()
             .commonName(vm)
@@ -71,9 +71,9 @@
             .duration(days, TimeUnit.DAYS);
     addresses.forEach(builder::addSubjectAlternativeName);
     HeldCertificate issued = builder.build();
-    write(folder.resolve(CERTIFICATE), issued.certificatePem(), false);
-    write(folder.resolve(PRIVATE_KEY), issued.privateKeyPkcs8Pem(), true);
-    write(folder.resolve(AUTHORITY), authorityPem, false);
+    writeNewFile(folder.resolve(CERTIFICATE_FILE), issued.certificatePem(), false);
+    writeNewFile(folder.resolve(PRIVATE_KEY_FILE), issued.privateKeyPkcs8Pem(), true);
+    writeNewFile(folder.resolve(AUTHORITY_FILE), authorityPem, false);
   }
 
   private static String read(Path file) {
@@ -84,7 +84,7 @@
     }
   }
 
-  private static void write(Path file, String text, boolean ownerOnly) {
+  private static void writeNewFile(Path file, String text, boolean ownerOnly) {
     try {
       Path folder = file.toAbsolutePath().getParent();
       if (folder != null) {
--- a/landingtrack/src/main/java/org/landingtrack/internal/tls/TlsIdentities.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/tls/ReloadableTlsIdentity.java
@@ -43,7 +43,7 @@
  * #context()}, {@link #keyManager()} and {@link #trustManager()} need to be fetched only once, as
  * they use the current identity for each new connection.
  */
-public final class TlsIdentities {
+public final class ReloadableTlsIdentity {
   private static final Logger log = LoggerFactory.getLogger("tls");
 
   private final TlsFiles files;
@@ -51,7 +51,7 @@
   private volatile TlsIdentity current;
   private String fingerprint;
 
-  private TlsIdentities(TlsFiles files) {
+  private ReloadableTlsIdentity(TlsFiles files) {
     this.files = files;
     this.fingerprint = fingerprint(files);
     this.current = TlsIdentity.load(files);
@@ -63,8 +63,8 @@
    *
    * @throws LandingtrackException naming the file that is missing or invalid
    */
-  public static TlsIdentities load(TlsFiles files) {
-    return new TlsIdentities(files);
+  public static ReloadableTlsIdentity load(TlsFiles files) {
+    return new ReloadableTlsIdentity(files);
   }
 
   private static String fingerprint(TlsFiles files) {
@@ -118,15 +118,15 @@
 
   /** Returns a key manager that delegates to that of the current identity. */
   public X509ExtendedKeyManager keyManager() {
-    return new FollowingKeyManager();
+    return new DelegatingKeyManager();
   }
 
   /** Returns a trust manager that delegates to that of the current identity. */
   public X509ExtendedTrustManager trustManager() {
-    return new FollowingTrustManager();
+    return new DelegatingTrustManager();
   }
 
-  private final class FollowingKeyManager extends X509ExtendedKeyManager {
+  private final class DelegatingKeyManager extends X509ExtendedKeyManager {
     @Override
     public String @Nullable [] getClientAliases(String type, Principal @Nullable [] issuers) {
       return current.keys().getClientAliases(type, issuers);
@@ -172,7 +172,7 @@
     }
   }
 
-  private final class FollowingTrustManager extends X509ExtendedTrustManager {
+  private final class DelegatingTrustManager extends X509ExtendedTrustManager {
     @Override
     public void checkClientTrusted(X509Certificate[] chain, String type, Socket socket)
         throws CertificateException {
--- a/landingtrack/src/main/java/org/landingtrack/internal/tls/TlsFiles.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/tls/TlsFiles.java
@@ -30,10 +30,10 @@
 
   /** Returns a value that changes when one of the files is replaced: their times and sizes. */
   String fingerprint() throws IOException {
-    return stamp(certificate) + stamp(privateKey) + stamp(authority);
+    return fileFingerprint(certificate) + fileFingerprint(privateKey) + fileFingerprint(authority);
   }
 
-  private static String stamp(Path file) throws IOException {
+  private static String fileFingerprint(Path file) throws IOException {
     return Files.getLastModifiedTime(file).toMillis() + "/" + Files.size(file) + " ";
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/tls/TlsIdentity.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/tls/TlsIdentity.java
@@ -67,13 +67,13 @@
     List<X509Certificate> chain = certificates(files.certificate());
     PrivateKey key = privateKey(files.privateKey());
     try {
-      checkPair(files, chain.get(0), key);
+      checkKeyMatchesCertificate(files, chain.get(0), key);
       return new TlsIdentity(
           keyManager(key, chain),
           trustManager(certificates(files.authority())),
           chain.get(0).getNotAfter().toInstant());
     } catch (GeneralSecurityException | IOException e) {
-      throw refuse(files.certificate(), "cannot be used: " + e.getMessage());
+      throw invalidFile(files.certificate(), "cannot be used: " + e.getMessage());
     }
   }
 
@@ -81,9 +81,10 @@
    * Checks that a key belongs to its certificate, by signing a sample. Without this check a wrong
    * key would only show at the first handshake.
    */
-  private static void checkPair(TlsFiles files, X509Certificate certificate, PrivateKey key) {
+  private static void checkKeyMatchesCertificate(
+      TlsFiles files, X509Certificate certificate, PrivateKey key) {
     if (!certificate.getPublicKey().getAlgorithm().equals(key.getAlgorithm())) {
-      throw refuse(files.privateKey(), "does not belong to " + files.certificate());
+      throw invalidFile(files.privateKey(), "does not belong to " + files.certificate());
     }
     String algorithm = key.getAlgorithm().equals("EC") ? "SHA256withECDSA" : "SHA256withRSA";
     byte[] sample = ALIAS.getBytes(StandardCharsets.UTF_8);
@@ -98,9 +99,9 @@
         return;
       }
     } catch (GeneralSecurityException e) {
-      throw refuse(files.privateKey(), "cannot be used: " + e.getMessage());
+      throw invalidFile(files.privateKey(), "cannot be used: " + e.getMessage());
     }
-    throw refuse(files.privateKey(), "does not belong to " + files.certificate());
+    throw invalidFile(files.privateKey(), "does not belong to " + files.certificate());
   }
 
   private static List<X509Certificate> certificates(Path file) {
@@ -113,13 +114,13 @@
         certificates.add((X509Certificate) certificate);
       }
       if (certificates.isEmpty()) {
-        throw refuse(file, "holds no certificate");
+        throw invalidFile(file, "holds no certificate");
       }
       return certificates;
     } catch (IOException e) {
-      throw refuse(file, "cannot be read");
+      throw invalidFile(file, "cannot be read");
     } catch (GeneralSecurityException e) {
-      throw refuse(file, "holds no certificate in PEM");
+      throw invalidFile(file, "holds no certificate in PEM");
     }
   }
 
@@ -128,13 +129,13 @@
     try {
       Matcher pem = PRIVATE_KEY_PEM.matcher(Files.readString(file));
       if (!pem.find()) {
-        throw refuse(file, "holds no private key in PEM (PKCS#8, not encrypted)");
+        throw invalidFile(file, "holds no private key in PEM (PKCS#8, not encrypted)");
       }
       der = Base64.getMimeDecoder().decode(pem.group(1));
     } catch (IOException e) {
-      throw refuse(file, "cannot be read");
+      throw invalidFile(file, "cannot be read");
     } catch (IllegalArgumentException e) {
-      throw refuse(file, "holds no private key in PEM (PKCS#8, not encrypted)");
+      throw invalidFile(file, "holds no private key in PEM (PKCS#8, not encrypted)");
     }
     for (String type : KEY_TYPES) {
       try {
@@ -142,10 +143,10 @@
       } catch (InvalidKeySpecException e) {
         // The key may be of the next type.
       } catch (GeneralSecurityException e) {
-        throw refuse(file, "cannot be used: " + e.getMessage());
+        throw invalidFile(file, "cannot be used: " + e.getMessage());
       }
     }
-    throw refuse(file, "holds no EC or RSA key");
+    throw invalidFile(file, "holds no EC or RSA key");
   }
 
   private static X509ExtendedKeyManager keyManager(PrivateKey key, List<X509Certificate> chain)
@@ -164,7 +165,7 @@
     try {
       return trustManager(certificates(authority));
     } catch (GeneralSecurityException | IOException e) {
-      throw refuse(authority, "cannot be used: " + e.getMessage());
+      throw invalidFile(authority, "cannot be used: " + e.getMessage());
     }
   }
 
@@ -191,7 +192,7 @@
     return store;
   }
 
-  private static LandingtrackException refuse(Path file, String problem) {
+  private static LandingtrackException invalidFile(Path file, String problem) {
     return new LandingtrackException(ErrorKind.BAD_REQUEST, "TLS file " + file + " " + problem);
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/tls/TlsRenewal.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/tls/TlsRenewal.java
@@ -18,7 +18,7 @@
 import java.util.Optional;
 import javax.net.ssl.SSLContext;
 import org.jspecify.annotations.Nullable;
-import org.landingtrack.internal.base.Duty;
+import org.landingtrack.internal.base.BoundedWorker;
 import org.landingtrack.internal.base.Metrics;
 
 /**
@@ -26,15 +26,15 @@
  * files change. Thread-safe.
  */
 public final class TlsRenewal implements AutoCloseable {
-  private static final long CHECK_MS = 1_000;
-  private static final int RING = 4;
+  private static final long CHECK_INTERVAL_MS = 1_000;
+  private static final int QUEUE_SIZE = 4;
 
-  private final @Nullable TlsIdentities identities;
-  private final @Nullable Duty duty;
+  private final @Nullable ReloadableTlsIdentity identity;
+  private final @Nullable BoundedWorker reloader;
 
-  private TlsRenewal(@Nullable TlsIdentities tlsIdentity) {
-    this.identities = tlsIdentity;
-    this.duty = tlsIdentity == null ? null : Duty.start("tls", RING);
+  private TlsRenewal(@Nullable ReloadableTlsIdentity tlsIdentity) {
+    this.identity = tlsIdentity;
+    this.reloader = tlsIdentity == null ? null : BoundedWorker.start("tls", QUEUE_SIZE);
   }
 
   /** Loads the files and checks for changes each second; null means no TLS. */
@@ -42,10 +42,10 @@
     if (files == null) {
       return new TlsRenewal(null);
     }
-    TlsIdentities tlsIdentity = TlsIdentities.load(files);
+    ReloadableTlsIdentity tlsIdentity = ReloadableTlsIdentity.load(files);
     TlsRenewal renewal = new TlsRenewal(tlsIdentity);
-    if (renewal.duty != null) {
-      renewal.duty.every(CHECK_MS, tlsIdentity::reloadIfChanged);
+    if (renewal.reloader != null) {
+      renewal.reloader.runPeriodically(CHECK_INTERVAL_MS, tlsIdentity::reloadIfChanged);
     }
     metrics.gauge(
         "landingtrack_certificate_expires_seconds",
@@ -55,19 +55,19 @@
   }
 
   /** Returns the current identity; empty without TLS. */
-  public Optional<TlsIdentities> identities() {
-    return Optional.ofNullable(identities);
+  public Optional<ReloadableTlsIdentity> identity() {
+    return Optional.ofNullable(identity);
   }
 
   /** Returns the TLS context, which uses the current identity; empty without TLS. */
   public Optional<SSLContext> context() {
-    return identities().map(TlsIdentities::context);
+    return identity().map(ReloadableTlsIdentity::context);
   }
 
   @Override
   public void close() {
-    if (duty != null) {
-      duty.close();
+    if (reloader != null) {
+      reloader.close();
     }
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/WeightRoller.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/DataCentreRollout.java
@@ -22,7 +22,7 @@
 import java.util.OptionalLong;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import org.landingtrack.internal.base.Duty;
+import org.landingtrack.internal.base.BoundedWorker;
 import org.landingtrack.internal.base.Ticker;
 import org.landingtrack.internal.catalog.Catalog;
 import org.landingtrack.internal.catalog.Catalog.NamedBackendServer;
@@ -31,7 +31,7 @@
 import org.landingtrack.internal.catalog.Spec;
 import org.landingtrack.internal.catalog.WeightVersion;
 import org.landingtrack.internal.lease.Lease;
-import org.landingtrack.internal.weights.RollPlan.EngineState;
+import org.landingtrack.internal.weights.RolloutPlanner.EngineState;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -44,7 +44,7 @@
  * after the time in which an order of the previous holder could still be in flight. {@link #step}
  * runs on one thread of its own; the other public methods may be called from any thread.
  */
-public final class WeightRoller implements AutoCloseable {
+public final class DataCentreRollout implements AutoCloseable {
   private static final Logger log = LoggerFactory.getLogger("weights");
   private static final long STEP_MS = 500;
 
@@ -52,27 +52,27 @@
   private static final int STEPS_PER_RENEWAL = 3;
 
   /** A rollout without progress for so long counts as stalled and goes on one engine at a time. */
-  private static final long OVERDUE_MS = 10_000;
+  private static final long STALL_TIMEOUT_MS = 10_000;
 
   /** Interval between checks of a service whose engines all have the configured version. */
-  private static final long SETTLED_EVERY_MS = 10_000;
+  private static final long UP_TO_DATE_CHECK_INTERVAL_MS = 10_000;
 
   private final String dataCentre;
-  private final BooleanSupplier eligible;
+  private final BooleanSupplier isCandidate;
   private final Supplier<Catalog> catalog;
   private final Lease lease;
-  private final EngineOrders orders;
+  private final EngineClient orders;
   private final Ticker ticker;
-  private final Duty duty = Duty.start("weights", 4);
-  private final Map<String, Settled> settled = new HashMap<>();
-  private final Map<String, Progress> progressed = new HashMap<>();
+  private final BoundedWorker duty = BoundedWorker.start("weights", 4);
+  private final Map<String, UpToDate> upToDateServices = new HashMap<>();
+  private final Map<String, Progress> progressByService = new HashMap<>();
   private long steps;
   private long heldEpoch = -1;
   private long heldSinceMs;
 
   private record Progress(String version, long atMs) {}
 
-  private record Settled(String version, int engines, long atMs) {}
+  private record UpToDate(String version, int engines, long atMs) {}
 
   /**
    * Creates a roller.
@@ -80,15 +80,15 @@
    * @param isCandidate whether this controller competes for the lease; only a few in a data centre
    *     do, so that the number of calls to the platform does not grow with the fleet
    */
-  public WeightRoller(
+  public DataCentreRollout(
       String dataCentre,
       BooleanSupplier isCandidate,
       Supplier<Catalog> catalog,
       Lease lease,
-      EngineOrders orders,
+      EngineClient orders,
       Ticker ticker) {
     this.dataCentre = dataCentre;
-    this.eligible = isCandidate;
+    this.isCandidate = isCandidate;
     this.catalog = catalog;
     this.lease = lease;
     this.orders = orders;
@@ -97,18 +97,18 @@
 
   /** Starts to check periodically for engines with another version. */
   public void start() {
-    duty.every(STEP_MS, this::step);
+    duty.runPeriodically(STEP_MS, this::step);
   }
 
   /** Runs one step: renews the lease and, while it is held, sends the next load orders. */
   void step() {
-    if (!eligible.getAsBoolean()) {
+    if (!isCandidate.getAsBoolean()) {
       lease.release();
       heldEpoch = -1;
       return;
     }
     if (steps++ % STEPS_PER_RENEWAL == 0) {
-      lease.step();
+      lease.acquireOrRenew();
     }
     OptionalLong epoch = lease.token();
     if (epoch.isEmpty()) {
@@ -118,22 +118,22 @@
     if (heldEpoch != epoch.getAsLong()) {
       heldEpoch = epoch.getAsLong();
       heldSinceMs = ticker.millis();
-      settled.clear();
+      upToDateServices.clear();
     }
     int loads = 0;
     for (Map.Entry<String, Spec> entry : catalog.get().ofKind(Kind.SERVICE).entrySet()) {
       Service service = (Service) entry.getValue();
       if (service.isModel()) {
-        loads += roll(entry.getKey(), service, loads);
+        loads += rollOut(entry.getKey(), service, loads);
       }
     }
   }
 
   /** Orders the next loads of a service and returns the number of its running loads. */
-  private int roll(String name, Service service, int loadsElsewhere) {
+  private int rollOut(String name, Service service, int loadsElsewhere) {
     String target = service.weightVersion();
-    List<NamedBackendServer> engines = enginesHere(name);
-    if (target == null || engines.isEmpty() || isSettled(name, target, engines.size())) {
+    List<NamedBackendServer> engines = localEngines(name);
+    if (target == null || engines.isEmpty() || isUpToDate(name, target, engines.size())) {
       return 0;
     }
     List<EngineState> states = new ArrayList<>();
@@ -148,35 +148,37 @@
       upToDate &= state.reachable() && state.version().equals(target) && !state.loading();
     }
     if (upToDate) {
-      settled.put(name, new Settled(target, engines.size(), ticker.millis()));
+      upToDateServices.put(name, new UpToDate(target, engines.size(), ticker.millis()));
       return 0;
     }
-    boolean stalled = isOverdue(name, target);
-    RollPlan.Demand conditions =
-        new RollPlan.Demand(engines.get(0).spec().maxConcurrent(), stalled);
-    for (String next : RollPlan.next(states, target, loadsElsewhere, conditions)) {
+    boolean stalled = isStalled(name, target);
+    RolloutPlanner.Conditions conditions =
+        new RolloutPlanner.Conditions(engines.get(0).spec().maxConcurrent(), stalled);
+    for (String next : RolloutPlanner.nextEngines(states, target, loadsElsewhere, conditions)) {
       NamedBackendServer engine = byName.get(next);
-      if (engine != null && order(engine, target)) {
+      if (engine != null && orderLoad(engine, target)) {
         loading++;
       }
     }
     if (loading > 0) {
-      progressed.put(name, new Progress(target, ticker.millis()));
+      progressByService.put(name, new Progress(target, ticker.millis()));
     }
     return loading;
   }
 
-  /** Returns true if the rollout of a version has made no progress for {@link #OVERDUE_MS}. */
-  private boolean isOverdue(String name, String target) {
-    Progress known = progressed.get(name);
+  /**
+   * Returns true if the rollout of a version has made no progress for {@link #STALL_TIMEOUT_MS}.
+   */
+  private boolean isStalled(String name, String target) {
+    Progress known = progressByService.get(name);
     if (known == null || !known.version.equals(target)) {
-      progressed.put(name, new Progress(target, ticker.millis()));
+      progressByService.put(name, new Progress(target, ticker.millis()));
       return false;
     }
-    return ticker.millis() - known.atMs >= OVERDUE_MS;
+    return ticker.millis() - known.atMs >= STALL_TIMEOUT_MS;
   }
 
-  private List<NamedBackendServer> enginesHere(String service) {
+  private List<NamedBackendServer> localEngines(String service) {
     List<NamedBackendServer> local = new ArrayList<>();
     for (NamedBackendServer server : catalog.get().servers(service)) {
       if (server.spec().dataCentre().equals(dataCentre)) {
@@ -186,16 +188,16 @@
     return local;
   }
 
-  private boolean isSettled(String name, String target, int engines) {
-    Settled known = settled.get(name);
+  private boolean isUpToDate(String name, String target, int engines) {
+    UpToDate known = upToDateServices.get(name);
     return known != null
         && known.version.equals(target)
         && known.engines == engines
-        && ticker.millis() - known.atMs < SETTLED_EVERY_MS;
+        && ticker.millis() - known.atMs < UP_TO_DATE_CHECK_INTERVAL_MS;
   }
 
-  private boolean order(NamedBackendServer engine, String target) {
-    long handoverDelayMs = lease.settleMs(HttpEngineOrders.ORDER_MS);
+  private boolean orderLoad(NamedBackendServer engine, String target) {
+    long handoverDelayMs = lease.handoverDelayMs(HttpEngineClient.CALL_TIMEOUT_MS);
     if (!engine.spec().checksFences() && ticker.millis() - heldSinceMs < handoverDelayMs) {
       return false;
     }
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/EngineOrders.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/EngineClient.java
@@ -15,13 +15,13 @@
  */
 package org.landingtrack.internal.weights;
 
-import org.landingtrack.internal.weights.RollPlan.EngineState;
+import org.landingtrack.internal.weights.RolloutPlanner.EngineState;
 
 /**
- * Client of the model engines that a {@link WeightRoller} updates: fetches their state and orders
- * them to load weights. Implementations are thread-safe.
+ * Client of the model engines that a {@link DataCentreRollout} updates: fetches their state and
+ * orders them to load weights. Implementations are thread-safe.
  */
-public interface EngineOrders {
+public interface EngineClient {
   /** Fetches the state of an engine; an engine that does not answer is returned as unreachable. */
   EngineState state(String name, String address);
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/EngineControl.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/EngineControl.java
@@ -36,7 +36,7 @@
    * @param weightVersions version of the loaded weights by model
    * @param busy true while the engine carries out an order
    * @param ordersTaken number of orders that it has accepted since it started
-   * @param running number of requests in flight
+   * @param runningRequests number of requests in flight
    * @param startedMs when the incarnation that reports started, in milliseconds since the Unix
    *     epoch by the engine's wall clock; 0 if the engine does not report it
    */
@@ -44,7 +44,7 @@
       Map<String, Long> weightVersions,
       boolean busy,
       long ordersTaken,
-      int running,
+      int runningRequests,
       long startedMs) {
     public Report {
       weightVersions = Map.copyOf(weightVersions);
@@ -54,12 +54,13 @@
   /**
    * An order to load a version of a model's weights.
    *
-   * @param ordersTaken expected number of orders that the engine has accepted; the engine rejects
-   *     the order if its number differs
+   * @param expectedOrdersTaken expected number of orders that the engine has accepted; the engine
+   *     rejects the order if its number differs
    * @param holder name of the lease holder that sends the order
    * @param epoch fencing token of the lease
    */
-  record LoadOrder(String model, long version, long ordersTaken, String holder, long epoch) {}
+  record LoadOrder(
+      String model, long version, long expectedOrdersTaken, String holder, long epoch) {}
 
   /** Outcome of an order. */
   enum Outcome {
@@ -76,7 +77,7 @@
   /**
    * Fetches the state of an engine.
    *
-   * @throws EngineSilentException if the engine does not answer
+   * @throws EngineUnavailableException if the engine does not answer
    */
   Report report(Engine engine);
 
@@ -84,10 +85,10 @@
   Outcome load(Engine engine, LoadOrder order);
 
   /** Thrown when an engine does not answer a request for its state. */
-  final class EngineSilentException extends RuntimeException {
+  final class EngineUnavailableException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public EngineSilentException(String message, Throwable cause) {
+    public EngineUnavailableException(String message, Throwable cause) {
       super(message, cause);
     }
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/EngineView.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/EngineView.java
@@ -31,13 +31,13 @@
    * Largest age of the state in a report. Some hundred milliseconds more than the age that engines
    * state.
    */
-  static final long REPORT_LAG_MS = 600;
+  static final long MAX_REPORT_AGE_MS = 600;
 
   /**
    * How long an order counts as a running load while no report shows its effect: the largest age of
    * a report, the longest call and one step of the rollout.
    */
-  static final long UNSEEN_PLACE_MS = 1_100;
+  static final long UNCONFIRMED_LOAD_MS = 1_100;
 
   /**
    * How long an engine that accepted its order but still drains requests counts as loading. It
@@ -45,31 +45,31 @@
    * speed drained its requests for up to 8 s, and three such engines delayed ten others for as
    * long.
    */
-  static final long DRAIN_PLACE_MS = 2_000;
+  static final long DRAINING_LOAD_MS = 2_000;
 
   /**
    * How long the next engine in the order of the rollout is waited for while its report is pending.
    * Engines usually answer within some ten milliseconds.
    */
-  static final long PATIENCE_MS = 100;
+  static final long REPORT_WAIT_MS = 100;
 
   /**
    * Minimum interval between polls of an unresponsive engine; each of them occupies a thread for
    * 400 ms.
    */
-  static final long SILENT_PAUSE_MS = 1_000;
+  static final long UNRESPONSIVE_POLL_INTERVAL_MS = 1_000;
 
   private long startedMs;
   private @Nullable Report report;
-  private long reportAskedMs;
+  private long reportPolledMs;
   private long busySinceMs;
-  private boolean asking;
-  private boolean silent;
-  private long askedMs;
-  private @Nullable Sent lastSent;
-  private boolean ordering;
+  private boolean pollPending;
+  private boolean unresponsive;
+  private long pollStartedMs;
+  private @Nullable SentOrder lastOrder;
+  private boolean orderPending;
 
-  private record Sent(long version, long ordersTaken, long atMs) {}
+  private record SentOrder(long version, long ordersTaken, long atMs) {}
 
   /**
    * Records the start time of an incarnation of the engine. If it is newer than the known one, the
@@ -78,73 +78,77 @@
    *
    * @param incarnationStartMs start time by the engine's wall clock; 0 if unknown
    */
-  void startSeen(long incarnationStartMs) {
+  void updateIncarnation(long incarnationStartMs) {
     if (incarnationStartMs <= startedMs) {
       return;
     }
     if (startedMs > 0) {
       report = null;
-      lastSent = null;
-      silent = false;
+      lastOrder = null;
+      unresponsive = false;
     }
     startedMs = incarnationStartMs;
   }
 
   /** Returns false if the report comes from an incarnation before the latest known one. */
-  boolean isOfLatestStart(Report other) {
+  boolean isFromLatestIncarnation(Report other) {
     return other.startedMs() == 0 || other.startedMs() >= startedMs;
   }
 
   /** Records that a poll of the engine starts now; returns false if it must not be polled yet. */
-  boolean beginAsk(long nowMs) {
-    if (asking || (silent && nowMs - askedMs < SILENT_PAUSE_MS)) {
+  boolean beginPoll(long nowMs) {
+    if (pollPending || (unresponsive && nowMs - pollStartedMs < UNRESPONSIVE_POLL_INTERVAL_MS)) {
       return false;
     }
-    asking = true;
-    askedMs = nowMs;
+    pollPending = true;
+    pollStartedMs = nowMs;
     return true;
   }
 
   /** Records the end of a poll and its report; null if the engine did not answer. */
-  void endAsk(@Nullable Report answer) {
-    asking = false;
-    silent = answer == null;
-    if (answer != null && !isOfLatestStart(answer)) {
+  void endPoll(@Nullable Report answer) {
+    pollPending = false;
+    unresponsive = answer == null;
+    if (answer != null && !isFromLatestIncarnation(answer)) {
       return;
     }
     if (answer != null) {
-      startSeen(answer.startedMs());
+      updateIncarnation(answer.startedMs());
     }
     boolean wasBusy = report != null && report.busy();
     report = answer;
-    reportAskedMs = askedMs;
+    reportPolledMs = pollStartedMs;
     if (answer != null && answer.busy() && !wasBusy) {
-      busySinceMs = askedMs;
+      busySinceMs = pollStartedMs;
     }
   }
 
   /** Returns true if a report is likely to arrive soon, so that later engines must wait for it. */
-  boolean isAwaited(long nowMs) {
-    return asking && !silent && nowMs - askedMs < PATIENCE_MS;
+  boolean isReportExpectedSoon(long nowMs) {
+    return pollPending && !unresponsive && nowMs - pollStartedMs < REPORT_WAIT_MS;
   }
 
   /** Returns true if the engine loads the weights or, by what is known, may be loading them. */
-  boolean holdsPlace(long version, long nowMs) {
-    if (ordering) {
+  boolean countsAsLoading(long version, long nowMs) {
+    if (orderPending) {
       return true;
     }
-    if (!shows(version) && nowMs - lastOrderMs(version) < UNSEEN_PLACE_MS) {
+    if (!reflectsLastOrder(version) && nowMs - lastOrderMs(version) < UNCONFIRMED_LOAD_MS) {
       return true;
     }
     if (report == null || !report.busy()) {
       return false;
     }
-    return report.running() == 0 || nowMs - busySinceMs < DRAIN_PLACE_MS;
+    return report.runningRequests() == 0 || nowMs - busySinceMs < DRAINING_LOAD_MS;
   }
 
   /** Returns the report to base an order on; null if no order may be sent now. */
-  @Nullable Report readyFor(String model, long version) {
-    if (asking || ordering || report == null || report.busy() || !shows(version)) {
+  @Nullable Report reportForOrder(String model, long version) {
+    if (pollPending
+        || orderPending
+        || report == null
+        || report.busy()
+        || !reflectsLastOrder(version)) {
       return null;
     }
     return report.weightVersions().getOrDefault(model, 0L) < version ? report : null;
@@ -152,34 +156,34 @@
 
   /**
    * Returns true if the report reflects the last order for these weights. The state in a report may
-   * be {@link #REPORT_LAG_MS} old, so that a recent order may be missing from it.
+   * be {@link #MAX_REPORT_AGE_MS} old, so that a recent order may be missing from it.
    */
-  private boolean shows(long version) {
-    if (lastSent == null || lastSent.version != version) {
+  private boolean reflectsLastOrder(long version) {
+    if (lastOrder == null || lastOrder.version != version) {
       return true;
     }
     return report != null
-        && (report.ordersTaken() > lastSent.ordersTaken
-            || reportAskedMs - lastSent.atMs >= REPORT_LAG_MS);
+        && (report.ordersTaken() > lastOrder.ordersTaken
+            || reportPolledMs - lastOrder.atMs >= MAX_REPORT_AGE_MS);
   }
 
   /** Returns when these weights were last ordered; {@link Long#MIN_VALUE} if never. */
   long lastOrderMs(long version) {
-    return lastSent != null && lastSent.version == version ? lastSent.atMs : Long.MIN_VALUE;
+    return lastOrder != null && lastOrder.version == version ? lastOrder.atMs : Long.MIN_VALUE;
   }
 
   /** Records that an order is queued; until {@link #endOrder} no other order is sent. */
   void beginOrder() {
-    ordering = true;
+    orderPending = true;
   }
 
   /** Records the order that is sent now. */
-  void noteSent(long version, long ordersTaken, long nowMs) {
-    lastSent = new Sent(version, ordersTaken, nowMs);
+  void recordOrder(long version, long ordersTaken, long nowMs) {
+    lastOrder = new SentOrder(version, ordersTaken, nowMs);
   }
 
   /** Records that the queued order was sent or dropped. */
   void endOrder() {
-    ordering = false;
+    orderPending = false;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/HttpEngineOrders.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/HttpEngineClient.java
@@ -25,18 +25,18 @@
 import okhttp3.RequestBody;
 import okhttp3.Response;
 import org.landingtrack.internal.base.Json;
-import org.landingtrack.internal.weights.RollPlan.EngineState;
+import org.landingtrack.internal.weights.RolloutPlanner.EngineState;
 
-/** {@link EngineOrders} over HTTP. Makes no retries. Thread-safe. */
-public final class HttpEngineOrders implements EngineOrders {
+/** {@link EngineClient} over HTTP. Makes no retries. Thread-safe. */
+public final class HttpEngineClient implements EngineClient {
   /** Timeout of a call in milliseconds, and so the longest time that an order is in flight. */
-  public static final long ORDER_MS = 1_000;
+  public static final long CALL_TIMEOUT_MS = 1_000;
 
   private static final MediaType JSON_TYPE = MediaType.get("application/json");
 
   private final OkHttpClient client =
       new OkHttpClient.Builder()
-          .callTimeout(ORDER_MS, TimeUnit.MILLISECONDS)
+          .callTimeout(CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS)
           .retryOnConnectionFailure(false)
           .build();
 
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/RollPlan.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/RolloutPlanner.java
@@ -22,23 +22,23 @@
 /**
  * Selects the engines of a service that load a new weight version next. Does no I/O.
  *
- * <p>The number of concurrent loads is limited: to {@link #MAX_LOADS}, since more slow each other
- * down; to a quarter of the service's engines; and such that the remaining engines can serve the
- * requests in flight. A rollout that has stalled continues with one engine at a time even if
- * requests or unreachable engines use up these limits, so that neither high load nor an unreachable
- * engine keeps old weights in use forever.
+ * <p>The number of concurrent loads is limited: to {@link #MAX_CONCURRENT_LOADS}, since more slow
+ * each other down; to a quarter of the service's engines; and such that the remaining engines can
+ * serve the requests in flight. A rollout that has stalled continues with one engine at a time even
+ * if requests or unreachable engines use up these limits, so that neither high load nor an
+ * unreachable engine keeps old weights in use forever.
  */
-public final class RollPlan {
+public final class RolloutPlanner {
   /** Maximum number of concurrent loads; so many do not slow each other down. */
-  public static final int MAX_LOADS = 3;
+  public static final int MAX_CONCURRENT_LOADS = 3;
 
   /** A service may have one concurrent load for each group of this many engines. */
-  private static final int LARGEST_SHARE = 4;
+  private static final int ENGINES_PER_LOAD = 4;
 
   /** Utilization up to which the remaining engines are planned while others load. */
-  private static final double FULLEST = 0.8;
+  private static final double MAX_UTILIZATION = 0.8;
 
-  private RollPlan() {}
+  private RolloutPlanner() {}
 
   /**
    * The state of an engine.
@@ -46,27 +46,27 @@
    * @param reachable false if the engine does not answer; it then counts as loading, since its
    *     state is unknown
    * @param version the loaded weight version
-   * @param running number of requests in flight
+   * @param runningRequests number of requests in flight
    */
   public record EngineState(
-      String name, boolean reachable, String version, boolean loading, int running) {}
+      String name, boolean reachable, String version, boolean loading, int runningRequests) {}
 
   /**
    * What the plan depends on besides the engines' state.
    *
-   * @param places maximum number of concurrent requests of one engine
-   * @param overdue true if the rollout has stalled
+   * @param maxConcurrentRequests maximum number of concurrent requests of one engine
+   * @param stalled true if the rollout has stalled
    */
-  public record Demand(int places, boolean overdue) {}
+  public record Conditions(int maxConcurrentRequests, boolean stalled) {}
 
   /**
    * Returns the names of the engines to order to load the target version now, the least busy first.
    *
    * @param loadsElsewhere number of running loads of other services
    */
-  public static List<String> next(
-      List<EngineState> engines, String target, int loadsElsewhere, Demand conditions) {
-    int maxLoads = Math.max(1, Math.min(MAX_LOADS, engines.size() / LARGEST_SHARE));
+  public static List<String> nextEngines(
+      List<EngineState> engines, String target, int loadsElsewhere, Conditions conditions) {
+    int maxLoads = Math.max(1, Math.min(MAX_CONCURRENT_LOADS, engines.size() / ENGINES_PER_LOAD));
     int loading = 0;
     int unreachable = 0;
     List<EngineState> waiting = new ArrayList<>();
@@ -80,12 +80,14 @@
       }
     }
     int unavailable = loading + unreachable;
-    int free = Math.min(maxLoads - unavailable, MAX_LOADS - unavailable - loadsElsewhere);
-    free = Math.min(free, spare(engines, unavailable, conditions.places()));
-    if (conditions.overdue() && loading == 0 && loadsElsewhere < MAX_LOADS) {
+    int free =
+        Math.min(maxLoads - unavailable, MAX_CONCURRENT_LOADS - unavailable - loadsElsewhere);
+    free = Math.min(free, spareEngines(engines, unavailable, conditions.maxConcurrentRequests()));
+    if (conditions.stalled() && loading == 0 && loadsElsewhere < MAX_CONCURRENT_LOADS) {
       free = Math.max(1, free);
     }
-    waiting.sort(Comparator.comparingInt(EngineState::running).thenComparing(EngineState::name));
+    waiting.sort(
+        Comparator.comparingInt(EngineState::runningRequests).thenComparing(EngineState::name));
     List<String> next = new ArrayList<>();
     for (EngineState engine : waiting) {
       if (next.size() >= free) {
@@ -101,12 +103,12 @@
    * of needed engines, so that less than half an engine's load is ignored and the only engine of a
    * service loads at once if it has little to do.
    */
-  private static int spare(List<EngineState> engines, int unavailable, int maxConcurrent) {
+  private static int spareEngines(List<EngineState> engines, int unavailable, int maxConcurrent) {
     int running = 0;
     for (EngineState engine : engines) {
-      running += engine.running();
+      running += engine.runningRequests();
     }
-    int needed = (int) Math.round(running / (FULLEST * Math.max(1, maxConcurrent)));
+    int needed = (int) Math.round(running / (MAX_UTILIZATION * Math.max(1, maxConcurrent)));
     return engines.size() - unavailable - needed;
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/weights/VersionRollout.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/weights/VersionRollout.java
@@ -30,11 +30,11 @@
 import java.util.function.ToIntFunction;
 import java.util.stream.Collectors;
 import org.jspecify.annotations.Nullable;
-import org.landingtrack.internal.base.Duty;
+import org.landingtrack.internal.base.BoundedWorker;
 import org.landingtrack.internal.base.Ticker;
 import org.landingtrack.internal.lease.Lease;
 import org.landingtrack.internal.weights.EngineControl.Engine;
-import org.landingtrack.internal.weights.EngineControl.EngineSilentException;
+import org.landingtrack.internal.weights.EngineControl.EngineUnavailableException;
 import org.landingtrack.internal.weights.EngineControl.LoadOrder;
 import org.landingtrack.internal.weights.EngineControl.Outcome;
 import org.landingtrack.internal.weights.EngineControl.Report;
@@ -70,46 +70,46 @@
   /**
    * Threads for reports, and as many for orders, so that unresponsive engines do not delay orders.
    */
-  private static final int CALLERS = 8;
+  private static final int POOL_THREADS = 8;
 
   /**
    * Steps for which a candidate waits before it competes for the lease if it has not held it
    * before, so that an earlier holder is first.
    */
-  private static final int STEPS_FOR_LAST_HOLDER = 3;
+  private static final int CANDIDATE_DELAY_STEPS = 3;
 
   /**
    * Steps (6 s) without progress of the rollout after which VMs that are no candidates compete for
    * the lease.
    */
-  private static final int STEPS_FOR_OTHERS = 40;
+  private static final int STALL_STEPS = 40;
 
   /**
    * Steps without lagging engines after which the lease record is read. The last holder released
    * the lease 0.3 s before.
    */
-  private static final int STEPS_BEFORE_LOOK = 5;
+  private static final int OBSERVE_DELAY_STEPS = 5;
 
   private final String self;
   private final Supplier<List<Task>> lagging;
   private final Lease lease;
   private final EngineControl control;
   private final Ticker ticker;
-  private final long settleMs;
-  private final ToIntFunction<String> loadsAtOnce;
+  private final long handoverDelayMs;
+  private final ToIntFunction<String> maxConcurrentLoads;
   private final BooleanSupplier isCandidate;
-  private final ExecutorService reportCallers;
-  private final ExecutorService orderCallers;
-  private final Duty duty = Duty.start("weights", 4);
+  private final ExecutorService reportExecutor;
+  private final ExecutorService orderExecutor;
+  private final BoundedWorker duty = BoundedWorker.start("weights", 4);
   private long steps;
   private long idleSteps;
   private long laggingSteps;
-  private int laggingBefore;
-  private long stillSteps;
-  private long lastEpoch = -1;
+  private int lastLaggingCount;
+  private long stalledSteps;
+  private long lastHeldEpoch = -1;
 
   /** Until then no order is sent, since orders of the previous holder may be in flight. */
-  private long quietUntilMs = Long.MIN_VALUE;
+  private long handoverUntilMs = Long.MIN_VALUE;
 
   /** Guards the fields below and the contents of {@link #views}. */
   private final Object lock = new Object();
@@ -121,7 +121,7 @@
    * Epoch of the last lease term whose delay after the previous holder is over. Orders are sent
    * only under this epoch.
    */
-  private long settledEpoch = -1;
+  private long orderingEpoch = -1;
 
   /** An engine with weights older than the newest published ones, and the version to load. */
   public record Task(Engine engine, String model, long version) {}
@@ -156,8 +156,10 @@
         handoverDelayMs,
         maxConcurrentLoads,
         isCandidate,
-        Executors.newFixedThreadPool(CALLERS, Duty.daemon("weights-reports")),
-        Executors.newFixedThreadPool(CALLERS, Duty.daemon("weights-orders")));
+        Executors.newFixedThreadPool(
+            POOL_THREADS, BoundedWorker.daemonThreadFactory("weights-reports")),
+        Executors.newFixedThreadPool(
+            POOL_THREADS, BoundedWorker.daemonThreadFactory("weights-orders")));
   }
 
   /** Creates a rollout with the executors of a test; {@link #close} shuts them down. */
@@ -178,15 +180,15 @@
     this.lease = lease;
     this.control = control;
     this.ticker = ticker;
-    this.settleMs = handoverDelayMs;
-    this.loadsAtOnce = maxConcurrentLoads;
-    this.reportCallers = reportExecutor;
-    this.orderCallers = orderExecutor;
+    this.handoverDelayMs = handoverDelayMs;
+    this.maxConcurrentLoads = maxConcurrentLoads;
+    this.reportExecutor = reportExecutor;
+    this.orderExecutor = orderExecutor;
   }
 
   /** Starts to check periodically for lagging engines. */
   public void start() {
-    duty.every(STEP_MS, this::step);
+    duty.runPeriodically(STEP_MS, this::step);
   }
 
   /**
@@ -195,80 +197,80 @@
    */
   void step() {
     List<Task> current = lagging.get();
-    follow(current);
+    updateTasks(current);
     if (current.isEmpty()) {
-      rest();
+      releaseWhenIdle();
       return;
     }
     idleSteps = 0;
     laggingSteps++;
-    if (!maySeek(current.size())) {
+    if (!mayAcquireLease(current.size())) {
       return;
     }
     if (steps++ % STEPS_PER_RENEWAL == 0) {
-      lease.step();
+      lease.acquireOrRenew();
     }
     OptionalLong epoch = lease.token();
     if (epoch.isEmpty()) {
       return;
     }
-    noteHolding(epoch.getAsLong());
-    if (ticker.millis() < quietUntilMs) {
+    recordEpoch(epoch.getAsLong());
+    if (ticker.millis() < handoverUntilMs) {
       return;
     }
-    askAll(epoch.getAsLong());
+    pollAll(epoch.getAsLong());
   }
 
   /**
    * Returns whether this process may compete for the lease: at once if it has held it before, after
-   * {@link #STEPS_FOR_LAST_HOLDER} steps as a candidate, otherwise only if the rollout stalls.
+   * {@link #CANDIDATE_DELAY_STEPS} steps as a candidate, otherwise only if the rollout stalls.
    */
-  private boolean maySeek(int laggingCount) {
-    stillSteps = laggingCount == laggingBefore ? stillSteps + 1 : 0;
-    laggingBefore = laggingCount;
-    boolean wasHolder = lastEpoch >= 0;
+  private boolean mayAcquireLease(int laggingCount) {
+    stalledSteps = laggingCount == lastLaggingCount ? stalledSteps + 1 : 0;
+    lastLaggingCount = laggingCount;
+    boolean wasHolder = lastHeldEpoch >= 0;
     if (wasHolder) {
       return true;
     }
     return isCandidate.getAsBoolean()
-        ? laggingSteps > STEPS_FOR_LAST_HOLDER
-        : stillSteps > STEPS_FOR_OTHERS;
+        ? laggingSteps > CANDIDATE_DELAY_STEPS
+        : stalledSteps > STALL_STEPS;
   }
 
   /** Releases the lease after some steps without lagging engines, and later reads its record. */
-  private void rest() {
+  private void releaseWhenIdle() {
     laggingSteps = 0;
-    laggingBefore = 0;
-    stillSteps = 0;
+    lastLaggingCount = 0;
+    stalledSteps = 0;
     steps = 0;
     idleSteps++;
     if (idleSteps == STEPS_PER_RENEWAL && lease.token().isPresent()) {
       lease.release();
-      log.atInfo().addKeyValue("epoch", lastEpoch).log("lease given back");
+      log.atInfo().addKeyValue("epoch", lastHeldEpoch).log("lease given back");
     }
-    if (idleSteps == STEPS_BEFORE_LOOK) {
-      lease.look();
+    if (idleSteps == OBSERVE_DELAY_STEPS) {
+      lease.observe();
     }
   }
 
   /** Records the epoch of the lease and, for a new term, sets the time of the first order. */
-  private void noteHolding(long epoch) {
-    if (epoch == lastEpoch) {
+  private void recordEpoch(long epoch) {
+    if (epoch == lastHeldEpoch) {
       return;
     }
     boolean first = epoch == 1;
-    boolean previousWasOwn = lastEpoch >= 0 && epoch == lastEpoch + 1;
+    boolean previousWasOwn = lastHeldEpoch >= 0 && epoch == lastHeldEpoch + 1;
     if (!first && !previousWasOwn) {
-      quietUntilMs = lease.beforeUntilMs() + settleMs;
+      handoverUntilMs = lease.previousHolderUntilMs() + handoverDelayMs;
     }
-    lastEpoch = epoch;
+    lastHeldEpoch = epoch;
     long nowMs = ticker.millis();
-    long waitsMs = nowMs < quietUntilMs ? quietUntilMs - nowMs : 0;
+    long waitsMs = nowMs < handoverUntilMs ? handoverUntilMs - nowMs : 0;
     log.atInfo().addKeyValue("epoch", epoch).addKeyValue("waitsMs", waitsMs).log("lease won");
   }
 
   /** Replaces the tasks and drops the state of engines that lag no more. */
-  private void follow(List<Task> current) {
+  private void updateTasks(List<Task> current) {
     synchronized (lock) {
       tasks = current;
       views
@@ -281,40 +283,40 @@
    * Polls all lagging engines. The caller holds the lease with this epoch and has waited for the
    * previous holder's orders to end.
    */
-  private void askAll(long epoch) {
+  private void pollAll(long epoch) {
     Map<Task, EngineView> polls = new LinkedHashMap<>();
     synchronized (lock) {
-      settledEpoch = epoch;
+      orderingEpoch = epoch;
       for (Task task : tasks) {
         EngineView view = view(task);
-        if (view.beginAsk(ticker.millis())) {
+        if (view.beginPoll(ticker.millis())) {
           polls.put(task, view);
         }
       }
-      orderNext();
+      submitNextOrders();
     }
-    polls.forEach((task, view) -> run(reportCallers, () -> ask(task, view)));
+    polls.forEach((task, view) -> submit(reportExecutor, () -> poll(task, view)));
   }
 
   private EngineView view(Task task) {
     EngineView view = views.computeIfAbsent(task.engine().id(), id -> new EngineView());
-    view.startSeen(task.engine().startedMs());
+    view.updateIncarnation(task.engine().startedMs());
     return view;
   }
 
-  private void ask(Task task, EngineView view) {
-    Report report = reportOf(task.engine());
+  private void poll(Task task, EngineView view) {
+    Report report = fetchReport(task.engine());
     synchronized (lock) {
-      view.endAsk(report);
-      orderNext();
+      view.endPoll(report);
+      submitNextOrders();
     }
   }
 
   /** Fetches a report; returns null if the engine did not answer. */
-  private @Nullable Report reportOf(Engine engine) {
+  private @Nullable Report fetchReport(Engine engine) {
     try {
       return control.report(engine);
-    } catch (EngineSilentException e) {
+    } catch (EngineUnavailableException e) {
       log.atDebug().addKeyValue("server", engine.id()).log("engine silent");
     } catch (RuntimeException e) {
       log.warn("A call to an engine failed: {}.", e.toString());
@@ -323,27 +325,28 @@
   }
 
   /**
-   * Submits orders until the limit of concurrent loads is reached, in the order of {@link #inTurn}.
-   * The caller must hold {@link #lock}.
+   * Submits orders until the limit of concurrent loads is reached, in the order of {@link
+   * #tasksByLastOrder}. The caller must hold {@link #lock}.
    */
-  private void orderNext() {
-    if (!mayOrder(settledEpoch)) {
+  private void submitNextOrders() {
+    if (!mayOrder(orderingEpoch)) {
       return;
     }
     long nowMs = ticker.millis();
     int loading = 0;
     for (Task task : tasks) {
-      loading += view(task).holdsPlace(task.version(), nowMs) ? 1 : 0;
+      loading += view(task).countsAsLoading(task.version(), nowMs) ? 1 : 0;
     }
-    for (Task task : inTurn()) {
+    for (Task task : tasksByLastOrder()) {
       EngineView view = view(task);
-      if (loading >= loadsAtOnce.applyAsInt(task.model()) || view.isAwaited(nowMs)) {
+      if (loading >= maxConcurrentLoads.applyAsInt(task.model())
+          || view.isReportExpectedSoon(nowMs)) {
         return;
       }
-      Report report = view.readyFor(task.model(), task.version());
+      Report report = view.reportForOrder(task.model(), task.version());
       if (report != null) {
         loading++;
-        give(task, report, view);
+        submitOrder(task, report, view);
       }
     }
   }
@@ -352,7 +355,7 @@
    * Returns the tasks without a previous order first, then those whose order has had no effect, the
    * oldest order first.
    */
-  private List<Task> inTurn() {
+  private List<Task> tasksByLastOrder() {
     List<Task> sorted = new ArrayList<>(tasks);
     sorted.sort(Comparator.comparingLong(task -> view(task).lastOrderMs(task.version())));
     return sorted;
@@ -364,15 +367,15 @@
     return token.isPresent() && token.getAsLong() == epoch;
   }
 
-  private void give(Task task, Report report, EngineView view) {
-    long epoch = settledEpoch;
+  private void submitOrder(Task task, Report report, EngineView view) {
+    long epoch = orderingEpoch;
     view.beginOrder();
-    run(orderCallers, () -> order(task, report, view, epoch));
+    submit(orderExecutor, () -> runOrder(task, report, view, epoch));
   }
 
-  private void order(Task task, Report report, EngineView view, long epoch) {
+  private void runOrder(Task task, Report report, EngineView view, long epoch) {
     try {
-      send(task, report, view, epoch);
+      sendOrder(task, report, view, epoch);
     } catch (RuntimeException e) {
       log.warn("A call to an engine failed: {}.", e.toString());
     } finally {
@@ -382,17 +385,17 @@
     }
   }
 
-  private void send(Task task, Report report, EngineView view, long epoch) {
+  private void sendOrder(Task task, Report report, EngineView view, long epoch) {
     // Check again right before sending: the lease term may have ended while the order was queued,
     // and a newer term of this process may have to wait for another holder's orders first.
     if (!mayOrder(epoch)) {
       return;
     }
     synchronized (lock) {
-      if (!view.isOfLatestStart(report)) {
+      if (!view.isFromLatestIncarnation(report)) {
         return;
       }
-      view.noteSent(task.version(), report.ordersTaken(), ticker.millis());
+      view.recordOrder(task.version(), report.ordersTaken(), ticker.millis());
     }
     LoadOrder order =
         new LoadOrder(task.model(), task.version(), report.ordersTaken(), self, epoch);
@@ -401,13 +404,13 @@
         .addKeyValue("server", task.engine().id())
         .addKeyValue("version", task.version())
         .addKeyValue("epoch", order.epoch())
-        .addKeyValue("ordersTaken", order.ordersTaken())
-        .addKeyValue("running", report.running())
+        .addKeyValue("ordersTaken", order.expectedOrdersTaken())
+        .addKeyValue("running", report.runningRequests())
         .addKeyValue("outcome", outcome)
         .log("load ordered");
   }
 
-  private static void run(ExecutorService executor, Runnable call) {
+  private static void submit(ExecutorService executor, Runnable call) {
     try {
       executor.execute(call);
     } catch (RejectedExecutionException e) {
@@ -419,8 +422,8 @@
   @Override
   public void close() {
     duty.close();
-    reportCallers.shutdownNow();
-    orderCallers.shutdownNow();
+    reportExecutor.shutdownNow();
+    orderExecutor.shutdownNow();
     lease.release();
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/wiring/ProcessModule.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/wiring/ProcessModule.java
@@ -25,7 +25,7 @@
 import org.landingtrack.internal.catalog.Catalog;
 import org.landingtrack.internal.config.ConfigReplica;
 import org.landingtrack.internal.peer.PeerClient;
-import org.landingtrack.internal.peer.PeerSockets;
+import org.landingtrack.internal.peer.PeerTransport;
 import org.landingtrack.internal.tls.TlsFiles;
 import org.landingtrack.internal.tls.TlsRenewal;
 
@@ -62,13 +62,13 @@
   }
 
   @Provides
-  PeerSockets sockets(TlsRenewal renewal) {
-    return renewal.context().map(PeerSockets::tls).orElse(PeerSockets.PLAIN);
+  PeerTransport peerSockets(TlsRenewal renewal) {
+    return renewal.context().map(PeerTransport::tls).orElse(PeerTransport.PLAIN);
   }
 
   @Provides
   @Singleton
-  PeerClient peers(PeerSockets sockets) {
+  PeerClient peerClient(PeerTransport sockets) {
     return new PeerClient(sockets);
   }
 
