--- a/standins/src/main/java/org/landingtrack/standins/BlockCache.java
+++ b/standins/src/main/java/org/landingtrack/standins/BlockCache.java
@@ -33,14 +33,14 @@
  */
 final class BlockCache {
   /** A cached block with the weight version that it was computed with. */
-  private record Block(String group, String version, boolean broken) {}
+  private record Block(String group, String version, boolean corrupt) {}
 
   private final int capacity;
   private final EventLog events;
   private final LinkedHashMap<String, Block> blocks = new LinkedHashMap<>(16, 0.75f, true);
   private final Map<String, Long> pinnedUntilMs = new HashMap<>();
   private int versionViolations;
-  private int brokenBlocksUsed;
+  private int corruptBlocksUsed;
 
   BlockCache(int capacity, EventLog events) {
     this.capacity = capacity;
@@ -60,7 +60,7 @@
         versionViolations++;
         break;
       }
-      brokenBlocksUsed += block != null && block.broken ? 1 : 0;
+      corruptBlocksUsed += block != null && block.corrupt ? 1 : 0;
       depth++;
     }
     touch(keys.subList(0, depth));
@@ -82,7 +82,7 @@
   }
 
   /**
-   * Adds blocks. Corrupt ones are marked as such, so that {@link #brokenBlocksUsed} counts their
+   * Adds blocks. Corrupt ones are marked as such, so that {@link #corruptBlocksUsed} counts their
    * later uses.
    */
   synchronized void put(List<String> keys, String version, Set<String> corruptKeys) {
@@ -129,7 +129,7 @@
     }
   }
 
-  synchronized boolean holds(String key) {
+  synchronized boolean contains(String key) {
     return blocks.containsKey(key);
   }
 
@@ -138,12 +138,12 @@
     blocks.clear();
   }
 
-  synchronized void list(ArrayNode out) {
+  synchronized void appendEvents(ArrayNode out) {
     blocks.forEach((key, block) -> EventLog.add(out, block.group, key, "", true));
   }
 
-  synchronized int brokenBlocksUsed() {
-    return brokenBlocksUsed;
+  synchronized int corruptBlocksUsed() {
+    return corruptBlocksUsed;
   }
 
   synchronized int versionViolations() {
--- a/standins/src/main/java/org/landingtrack/standins/EngineOptions.java
+++ b/standins/src/main/java/org/landingtrack/standins/EngineOptions.java
@@ -40,12 +40,12 @@
     String weightVersion) {
 
   /** Returns settings of a fast engine with a small cache, for tests. */
-  public static EngineOptions small(String weightVersion) {
+  public static EngineOptions forTests(String weightVersion) {
     return new EngineOptions(64, 0.01, 1, 4, 16, true, 1_000, 200, weightVersion);
   }
 
   /** Returns a copy of these settings without the check for stale epochs. */
-  public EngineOptions withoutFences() {
+  public EngineOptions withoutFencing() {
     return new EngineOptions(
         cacheBlocks,
         prefillMsPerToken,
--- a/standins/src/main/java/org/landingtrack/standins/EngineStream.java
+++ b/standins/src/main/java/org/landingtrack/standins/EngineStream.java
@@ -96,7 +96,7 @@
   }
 
   /** Returns true if the run ended without an error and was not cancelled. */
-  synchronized boolean isWhole() {
+  synchronized boolean isComplete() {
     return done && error.isEmpty() && !cancelled;
   }
 
--- a/standins/src/main/java/org/landingtrack/standins/Standins.java
+++ b/standins/src/main/java/org/landingtrack/standins/Standins.java
@@ -87,13 +87,13 @@
   }
 
   private static int start(String kind, CommandLine commandLine) {
-    int port = number(commandLine, "port", 0);
+    int port = intOption(commandLine, "port", 0);
     return switch (kind) {
       case "object-api" -> new ObjectApiServer(port).port();
       case "vm-list" -> new VmListServer(port).port();
       case "plain" -> new PlainServer(commandLine.getOptionValue("name", "plain"), port).port();
-      case "engine" -> new EngineServer(port, engine(commandLine), new WeightStore()).port();
-      case "store" -> new StoreServer(port, store(commandLine)).port();
+      case "engine" -> new EngineServer(port, engineOptions(commandLine), new WeightStore()).port();
+      case "store" -> new StoreServer(port, storeOptions(commandLine)).port();
       default ->
           throw new IllegalArgumentException(
               "unknown kind (expected object-api, vm-list, engine, store or plain): '"
@@ -102,12 +102,12 @@
     };
   }
 
-  private static EngineOptions engine(CommandLine commandLine) {
+  private static EngineOptions engineOptions(CommandLine commandLine) {
     return new EngineOptions(
-        number(commandLine, "cache-blocks", 256),
-        number(commandLine, "prefill-us", 50) / 1000.0,
-        number(commandLine, "decode-ms", 10),
-        number(commandLine, "concurrent", 8),
+        intOption(commandLine, "cache-blocks", 256),
+        intOption(commandLine, "prefill-us", 50) / 1000.0,
+        intOption(commandLine, "decode-ms", 10),
+        intOption(commandLine, "concurrent", 8),
         64,
         !commandLine.hasOption("no-fences"),
         1_000,
@@ -115,13 +115,13 @@
         commandLine.getOptionValue("weight-version", "v1"));
   }
 
-  private static StoreServer.Options store(CommandLine commandLine) {
-    long capacity = number(commandLine, "capacity-mb", 4_096) * 1_000_000L;
+  private static StoreServer.Options storeOptions(CommandLine commandLine) {
+    long capacity = intOption(commandLine, "capacity-mb", 4_096) * 1_000_000L;
     return new StoreServer.Options(
-        capacity, capacity / 4, number(commandLine, "link-mb-s", 1_000) * 1_000.0, 500_000);
+        capacity, capacity / 4, intOption(commandLine, "link-mb-s", 1_000) * 1_000.0, 500_000);
   }
 
-  private static int number(CommandLine commandLine, String name, int fallback) {
+  private static int intOption(CommandLine commandLine, String name, int fallback) {
     String text = commandLine.getOptionValue(name);
     return text == null ? fallback : Integer.parseInt(text);
   }
