--- a/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerRestartTest.java
+++ b/landingtrack/src/test/java/org/landingtrack/internal/serving/ServerRestartTest.java
@@ -78,7 +78,7 @@
   }
 
   @DataProvider
-  public Object[][] reportSources() {
+  public Object[][] ways() {
     return new Object[][] {{"entry"}, {"list"}, {"report"}};
   }
 
@@ -169,7 +169,7 @@
   }
 
   @DataProvider
-  public Object[][] inFlightCases() {
+  public Object[][] underWay() {
     return new Object[][] {
       {"/never/x", "refused OUTCOME_UNKNOWN", false},
       {"/safe/x", "", true},
