--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/AttemptPlanner.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/AttemptPlanner.java
@@ -274,7 +274,7 @@
         state.peerLoads(),
         newestWeights(),
         state::rolloutPosition,
-        Hashes.placement(request.trafficSplitKey()),
+        Hashes.placement(request.splitKey()),
         Math.max(0, route.targetLatencyMs() - (loop.millis() - request.receivedAtMs())),
         loop.millis());
   }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerRequest.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/CallerRequest.java
@@ -50,7 +50,7 @@
   }
 
   /** Returns the key of the traffic split: all requests of a session go to the same target. */
-  String trafficSplitKey() {
+  String splitKey() {
     return prompt == null ? id : prompt.sessionKey();
   }
 }
--- a/landingtrack/src/main/java/org/landingtrack/internal/serving/RequestRun.java
+++ b/landingtrack/src/main/java/org/landingtrack/internal/serving/RequestRun.java
@@ -113,7 +113,7 @@
         return;
       }
     }
-    service = matched.serviceFor(Hashes.placement(request.trafficSplitKey()));
+    service = matched.serviceFor(Hashes.placement(request.splitKey()));
     planner = new AttemptPlanner(serving, request, matched, team, service);
     serving.state().retries(service).recordRequest(serving.options().retryPercent());
     long timeoutMs = matched.timeoutMs();
